--- a/crates/core/src/account.rs
+++ b/crates/core/src/account.rs
@@ -6,10 +6,10 @@
 use crate::shape::{Amount, Shape};
 
 /// Jobs of one account that may wait at a time, unless the configuration says otherwise.
-pub const QUEUE_LIMIT_JOBS: u32 = 2_000;
+pub const DEFAULT_QUEUE_LIMIT_JOBS: u32 = 2_000;
 
 /// Requests of one account that may be in flight at one entry, unless the configuration says otherwise.
-pub const REQUEST_LIMIT: u32 = 256;
+pub const DEFAULT_REQUEST_LIMIT: u32 = 256;
 
 /// A client account as the operators configured it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
@@ -36,8 +36,8 @@
         Self {
             guarantee: Vec::new(),
             weight: default_weight(),
-            queue_limit: QUEUE_LIMIT_JOBS,
-            request_limit: REQUEST_LIMIT,
+            queue_limit: DEFAULT_QUEUE_LIMIT_JOBS,
+            request_limit: DEFAULT_REQUEST_LIMIT,
             paused: false,
         }
     }
@@ -65,9 +65,9 @@
 }
 
 fn default_queue_limit() -> u32 {
-    QUEUE_LIMIT_JOBS
+    DEFAULT_QUEUE_LIMIT_JOBS
 }
 
 fn default_request_limit() -> u32 {
-    REQUEST_LIMIT
+    DEFAULT_REQUEST_LIMIT
 }
--- a/crates/core/src/estimate.rs
+++ b/crates/core/src/estimate.rs
@@ -11,10 +11,10 @@
 }
 
 /// Weight of the newest sample once the history is filled.
-const NEWEST_WEIGHT: f64 = 0.05;
+const MIN_SAMPLE_WEIGHT: f64 = 0.05;
 
 /// Samples before the history is trusted over the declaration.
-const TRUST_SAMPLES: f64 = 8.0;
+const HALF_TRUST_SAMPLES: f64 = 8.0;
 
 impl Estimator {
     /// Creates an estimator without history.
@@ -25,7 +25,7 @@
     /// Records a finished job.
     pub fn record(&mut self, declared_ms: Millis, actual_ms: Millis) {
         self.samples = self.samples.saturating_add(1);
-        let weight = NEWEST_WEIGHT.max(1.0 / f64::from(self.samples));
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
         let actual = (actual_ms.max(1) as f64).ln();
         let ratio = actual - (declared_ms.max(1) as f64).ln();
         self.log_ratio += weight * (ratio - self.log_ratio);
@@ -38,9 +38,9 @@
     /// because a single declaration may be off by a factor of ten in either direction.
     pub fn estimate_ms(&self, declared_ms: Millis) -> Millis {
         let declared = (declared_ms.max(1) as f64).ln();
-        let trust = f64::from(self.samples) / (f64::from(self.samples) + TRUST_SAMPLES);
+        let trust = f64::from(self.samples) / (f64::from(self.samples) + HALF_TRUST_SAMPLES);
         let corrected = declared + self.log_ratio;
-        let drawn = 0.7 * corrected + 0.3 * self.log_actual;
-        ((1.0 - trust) * declared + trust * drawn).exp().max(1.0) as Millis
+        let blended = 0.7 * corrected + 0.3 * self.log_actual;
+        ((1.0 - trust) * declared + trust * blended).exp().max(1.0) as Millis
     }
 }
--- a/crates/core/src/naive.rs
+++ b/crates/core/src/naive.rs
@@ -15,7 +15,7 @@
         let Some(placement) = first_fit(&free, &waiting.demand.shape) else { break };
         for row in &mut free {
             let tasks = placement.get(&row.0).copied().unwrap_or_default();
-            row.2 -= waiting.demand.shape.each().times(tasks);
+            row.2 -= waiting.demand.shape.per_task().times(tasks);
         }
         started.push((job.clone(), placement));
     }
@@ -44,23 +44,23 @@
 /// Returns the first set of workers within the span of `shape` that holds the gang.
 pub fn first_fit(free: &[Row], shape: &Shape) -> Option<Placement> {
     for first in free {
-        let mut left = shape.tasks;
+        let mut remaining = shape.tasks;
         let mut placement = Placement::new();
-        for row in free.iter().filter(|row| together(shape.span, first, row)) {
-            let tasks = row.2.tasks(shape.each()).min(left);
+        for row in free.iter().filter(|row| within_span(shape.span, first, row)) {
+            let tasks = row.2.tasks(shape.per_task()).min(remaining);
             if tasks > 0 {
                 placement.insert(row.0.clone(), tasks);
-                left -= tasks;
+                remaining -= tasks;
             }
         }
-        if left == 0 {
+        if remaining == 0 {
             return Some(placement);
         }
     }
     None
 }
 
-fn together(span: Span, a: &Row, b: &Row) -> bool {
+fn within_span(span: Span, a: &Row, b: &Row) -> bool {
     match span {
         Span::Worker => a.0 == b.0,
         Span::Rack => a.1 == b.1,
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -15,18 +15,20 @@
 ///
 /// Panics if `amounts` has fewer entries than the view has rows.
 pub fn find(view: &View, shape: &Shape, amounts: &[Amount]) -> Option<Placement> {
-    let each = shape.each();
-    let room: Vec<u32> =
-        amounts[..view.cells.len()].iter().map(|amount| amount.tasks(each).min(shape.tasks)).collect();
-    if u64::from(shape.tasks) > room.iter().map(|&tasks| u64::from(tasks)).sum() {
+    let per_task = shape.per_task();
+    let task_capacity: Vec<u32> = amounts[..view.worker_rows.len()]
+        .iter()
+        .map(|amount| amount.tasks(per_task).min(shape.tasks))
+        .collect();
+    if u64::from(shape.tasks) > task_capacity.iter().map(|&tasks| u64::from(tasks)).sum() {
         return None;
     }
     for span in [Span::Worker, Span::Rack, Span::Domain, Span::Region] {
         if span > shape.span {
             return None;
         }
-        if let Some(group) = tightest(view, shape, amounts, &room, span) {
-            return Some(fill(view, shape, amounts, &room, group));
+        if let Some(group) = best_fit_group(view, shape, amounts, &task_capacity, span) {
+            return Some(assign_tasks(view, shape, amounts, &task_capacity, group));
         }
     }
     None
@@ -34,7 +36,7 @@
 
 /// Returns whether an empty fleet of the view's workers could hold `shape`.
 pub fn fits_empty(view: &View, shape: &Shape) -> bool {
-    let totals: Vec<Amount> = view.cells.iter().map(|cell| cell.total).collect();
+    let totals: Vec<Amount> = view.worker_rows.iter().map(|row| row.total).collect();
     find(view, shape, &totals).is_some()
 }
 
@@ -45,21 +47,21 @@
 ///
 /// Among equals it takes the one with the least planned for guarantees, where nobody can break the gang up, and
 /// then the one in the fullest part of the level above.
-fn tightest(
+fn best_fit_group(
     view: &View,
     shape: &Shape,
     amounts: &[Amount],
-    room: &[u32],
+    task_capacity: &[u32],
     span: Span,
 ) -> Option<Range<usize>> {
-    let around = match span {
-        Span::Worker => free_around(view, Span::Rack),
-        Span::Rack => free_around(view, Span::Domain),
-        Span::Domain | Span::Region => free_around(view, Span::Region),
+    let enclosing_free = match span {
+        Span::Worker => free_at_level(view, Span::Rack),
+        Span::Rack => free_at_level(view, Span::Domain),
+        Span::Domain | Span::Region => free_at_level(view, Span::Region),
     };
     let mut best: Option<(Score, Range<usize>)> = None;
     for group in view.groups(span).iter().cloned() {
-        let tasks: u32 = room[group.clone()].iter().sum();
+        let tasks: u32 = task_capacity[group.clone()].iter().sum();
         if tasks < shape.tasks {
             continue;
         }
@@ -67,47 +69,58 @@
         let slots: u32 = amounts[group.clone()].iter().map(|a| a.slots).sum();
         let planned = match shape.tasks {
             1 => 0,
-            _ => view.cells[group.clone()].iter().map(|cell| cell.planned).sum(),
+            _ => view.worker_rows[group.clone()].iter().map(|row| row.planned).sum(),
         };
-        let left = (accelerators, planned, around[group.start], slots);
-        if best.as_ref().is_none_or(|(least, _)| left < *least) {
-            best = Some((left, group));
+        let leftover = (accelerators, planned, enclosing_free[group.start], slots);
+        if best.as_ref().is_none_or(|(lowest, _)| leftover < *lowest) {
+            best = Some((leftover, group));
         }
     }
     best.map(|(_, group)| group)
 }
 
 /// Returns for each row the free accelerators of its group at a level.
-fn free_around(view: &View, span: Span) -> Vec<u32> {
-    let mut around = vec![0; view.cells.len()];
+fn free_at_level(view: &View, span: Span) -> Vec<u32> {
+    let mut enclosing_free = vec![0; view.worker_rows.len()];
     for group in view.groups(span).iter().cloned() {
-        let free: u32 = view.cells[group.clone()].iter().map(|cell| cell.free.accelerators).sum();
-        around[group].fill(free);
+        let free: u32 = view.worker_rows[group.clone()].iter().map(|row| row.free.accelerators).sum();
+        enclosing_free[group].fill(free);
     }
-    around
+    enclosing_free
 }
 
 /// Spreads the tasks over the rows of a group: the fullest use of few rows first, then the tightest last row.
-fn fill(view: &View, shape: &Shape, amounts: &[Amount], room: &[u32], group: Range<usize>) -> Placement {
-    let mut rows: Vec<usize> = group.filter(|&at| room[at] > 0).collect();
-    rows.sort_by_key(|&at| (std::cmp::Reverse(room[at]), amounts[at], at));
-    let mut left = shape.tasks;
+fn assign_tasks(
+    view: &View,
+    shape: &Shape,
+    amounts: &[Amount],
+    task_capacity: &[u32],
+    group: Range<usize>,
+) -> Placement {
+    let mut rows: Vec<usize> = group.filter(|&row| task_capacity[row] > 0).collect();
+    rows.sort_by_key(|&row| (std::cmp::Reverse(task_capacity[row]), amounts[row], row));
+    let mut remaining = shape.tasks;
     let mut placement = Placement::new();
     let mut next = 0;
-    while left > 0 && next < rows.len() {
-        let at = match last_row(&rows[next..], room, amounts, left) {
-            Some(at) => at,
+    while remaining > 0 && next < rows.len() {
+        let row = match smallest_sufficient_row(&rows[next..], task_capacity, amounts, remaining) {
+            Some(row) => row,
             None => rows[next],
         };
-        let tasks = room[at].min(left);
-        placement.insert(view.cells[at].worker.clone(), tasks);
-        left -= tasks;
+        let tasks = task_capacity[row].min(remaining);
+        placement.insert(view.worker_rows[row].worker.clone(), tasks);
+        remaining -= tasks;
         next += 1;
     }
     placement
 }
 
-fn last_row(rows: &[usize], room: &[u32], amounts: &[Amount], left: u32) -> Option<usize> {
-    let enough = rows.iter().copied().filter(|&at| room[at] >= left);
-    enough.min_by_key(|&at| (amounts[at].accelerators, amounts[at].slots, at))
+fn smallest_sufficient_row(
+    rows: &[usize],
+    task_capacity: &[u32],
+    amounts: &[Amount],
+    remaining: u32,
+) -> Option<usize> {
+    let sufficient = rows.iter().copied().filter(|&row| task_capacity[row] >= remaining);
+    sufficient.min_by_key(|&row| (amounts[row].accelerators, amounts[row].slots, row))
 }
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -38,7 +38,7 @@
         for (account, bindings) in &self.bindings {
             for binding in bindings {
                 if let Some(&tasks) = binding.placement.get(worker) {
-                    *backing.entry(account.clone()).or_default() += binding.shape.each().times(tasks);
+                    *backing.entry(account.clone()).or_default() += binding.shape.per_task().times(tasks);
                 }
             }
         }
@@ -47,16 +47,16 @@
 
     /// Returns the amounts that back each account on each worker.
     pub fn backing(&self) -> BTreeMap<WorkerId, BTreeMap<AccountId, Amount>> {
-        let mut all: BTreeMap<WorkerId, BTreeMap<AccountId, Amount>> = BTreeMap::new();
+        let mut by_worker: BTreeMap<WorkerId, BTreeMap<AccountId, Amount>> = BTreeMap::new();
         for (account, bindings) in &self.bindings {
             for binding in bindings {
                 for (worker, &tasks) in &binding.placement {
-                    let on_worker = all.entry(worker.clone()).or_default();
-                    *on_worker.entry(account.clone()).or_default() += binding.shape.each().times(tasks);
+                    let on_worker = by_worker.entry(worker.clone()).or_default();
+                    *on_worker.entry(account.clone()).or_default() += binding.shape.per_task().times(tasks);
                 }
             }
         }
-        all
+        by_worker
     }
 }
 
@@ -69,15 +69,17 @@
     workers: &BTreeMap<WorkerId, Worker>,
     previous: &Plan,
 ) -> Plan {
-    let mut view = View::of_capacity(workers);
+    let mut view = View::with_full_capacity(workers);
     let mut plan = Plan::default();
     let mut unbound: Vec<(AccountId, Shape)> = Vec::new();
     for (account, config) in accounts {
         let mut kept = previous.bindings.get(account).cloned().unwrap_or_default();
         for shape in &config.guarantee {
-            let standing = kept.iter().position(|b| b.shape == *shape && view.holds(&b.shape, &b.placement));
-            match standing {
-                Some(at) => bind(&mut plan, &mut view, account, kept.swap_remove(at)),
+            let still_valid = kept
+                .iter()
+                .position(|binding| binding.shape == *shape && view.fits(&binding.shape, &binding.placement));
+            match still_valid {
+                Some(index) => bind(&mut plan, &mut view, account, kept.swap_remove(index)),
                 None => unbound.push((account.clone(), *shape)),
             }
         }
@@ -96,6 +98,6 @@
 }
 
 fn bind(plan: &mut Plan, view: &mut View, account: &AccountId, binding: Binding) {
-    view.take(&binding.shape, &binding.placement);
+    view.allocate(&binding.shape, &binding.placement);
     plan.bindings.entry(account.clone()).or_default().push(binding);
 }
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -17,7 +17,7 @@
 pub type Result<T> = std::result::Result<T, Refusal>;
 
 /// Tasks of one gang at most.
-pub const GANG_LIMIT_TASKS: u32 = 64;
+pub const MAX_GANG_TASKS: u32 = 64;
 
 /// Why a job was not admitted.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
@@ -91,15 +91,15 @@
 ///
 /// Returns the refusal when the shape is malformed or fits nowhere.
 pub fn check_shape(tables: &Tables, shape: &Shape) -> Result<()> {
-    if shape.tasks == 0 || shape.tasks > GANG_LIMIT_TASKS {
-        return Err(Refusal::BadShape { shape: *shape, limit: GANG_LIMIT_TASKS });
+    if shape.tasks == 0 || shape.tasks > MAX_GANG_TASKS {
+        return Err(Refusal::BadShape { shape: *shape, limit: MAX_GANG_TASKS });
     }
-    let view = View::of_capacity(&tables.workers);
+    let view = View::with_full_capacity(&tables.workers);
     if fits_empty(&view, shape) {
         return Ok(());
     }
-    let accelerators = view.cells.iter().map(|cell| cell.total.accelerators).sum();
-    let widest = view.cells.iter().map(|cell| cell.total.accelerators).max().unwrap_or_default();
+    let accelerators = view.worker_rows.iter().map(|row| row.total.accelerators).sum();
+    let widest = view.worker_rows.iter().map(|row| row.total.accelerators).max().unwrap_or_default();
     Err(Refusal::NeverFits { shape: *shape, accelerators, widest })
 }
 
@@ -115,7 +115,7 @@
 ///
 /// Urgent jobs come first, then jobs past the reservation bound by age, then the rest by how long they have
 /// waited for their estimated size, scaled by how far their account is beyond its share.
-pub fn order<'a>(
+pub fn scheduling_order<'a>(
     tables: &'a Tables,
     policy: &Policy,
     usage: &BTreeMap<AccountId, Amount>,
@@ -158,15 +158,15 @@
     waiting: &Waiting,
 ) -> f64 {
     let demand = &waiting.demand;
-    let time = tables.remaining_ms(waiting) as f64;
+    let time_ms = tables.remaining_ms(waiting) as f64;
     let width = f64::from(demand.shape.total().accelerators.max(1));
-    let excess = tables.accounts.get(&demand.account).map_or(1.0, |account| {
+    let usage_penalty = tables.accounts.get(&demand.account).map_or(1.0, |account| {
         let used = usage.get(&demand.account).copied().unwrap_or_default();
-        let beyond = used.less(account.guaranteed()).accelerators;
-        1.0 + f64::from(beyond) / f64::from(account.weight.max(1)) / 16.0
+        let over_guarantee = used.saturating_sub(account.guaranteed()).accelerators;
+        1.0 + f64::from(over_guarantee) / f64::from(account.weight.max(1)) / 16.0
     });
     // Short work first serves completion time; wide work first keeps large shapes from scattering.
-    let by_time = time.ln() * policy.completion_weight;
-    let by_width = width.ln() * (policy.completion_weight - policy.fragmentation_weight);
-    by_time + by_width + excess.ln()
+    let time_term = time_ms.ln() * policy.completion_weight;
+    let width_term = width.ln() * (policy.completion_weight - policy.fragmentation_weight);
+    time_term + width_term + usage_penalty.ln()
 }
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -26,49 +26,49 @@
 
 /// The shares of one worker split by whose backing they stand on.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct BackingUse {
     /// Backing of each account on the worker.
     pub backing: BTreeMap<AccountId, Amount>,
     /// Amount of its own backing that each account uses.
     pub own_used: BTreeMap<AccountId, Amount>,
     /// Jobs that stand on their own account's backing.
-    pub own: BTreeSet<JobId>,
+    pub on_own_backing: BTreeSet<JobId>,
     /// Amount beyond the own account's backing that work which cannot be preempted holds.
     pub pinned: Amount,
-    own_pinned: BTreeMap<AccountId, Amount>,
+    non_preemptible_held: BTreeMap<AccountId, Amount>,
 }
 
-impl Ledger {
+impl BackingUse {
     /// Splits `shares` by backing, the oldest first.
     ///
     /// Work that cannot be preempted takes the account's own backing first, and in part if need be: nothing
     /// else may hold it. Work that can yield stands on its own backing as a whole or not at all.
     pub fn new(backing: BTreeMap<AccountId, Amount>, shares: &[Share]) -> Self {
-        let mut ledger = Self { backing, ..Self::default() };
+        let mut backing_use = Self { backing, ..Self::default() };
         for share in shares.iter().filter(|share| !share.preemptible) {
-            *ledger.own_pinned.entry(share.account.clone()).or_default() += share.held;
-            ledger.own.insert(share.job.clone());
+            *backing_use.non_preemptible_held.entry(share.account.clone()).or_default() += share.held;
+            backing_use.on_own_backing.insert(share.job.clone());
         }
-        for (account, held) in &ledger.own_pinned {
-            let backing = ledger.backing.get(account).copied().unwrap_or_default();
-            ledger.pinned += held.less(backing);
-            ledger.own_used.insert(account.clone(), backing.min(*held));
+        for (account, held) in &backing_use.non_preemptible_held {
+            let backing = backing_use.backing.get(account).copied().unwrap_or_default();
+            backing_use.pinned += held.saturating_sub(backing);
+            backing_use.own_used.insert(account.clone(), backing.min(*held));
         }
-        let mut order: Vec<&Share> = shares.iter().filter(|share| share.preemptible).collect();
-        order.sort_by_key(|share| (share.started_ms, share.job.clone()));
-        for share in order {
-            if ledger.unused(&share.account).holds(share.held) {
-                *ledger.own_used.entry(share.account.clone()).or_default() += share.held;
-                ledger.own.insert(share.job.clone());
+        let mut by_age: Vec<&Share> = shares.iter().filter(|share| share.preemptible).collect();
+        by_age.sort_by_key(|share| (share.started_ms, share.job.clone()));
+        for share in by_age {
+            if backing_use.unused_backing(&share.account).covers(share.held) {
+                *backing_use.own_used.entry(share.account.clone()).or_default() += share.held;
+                backing_use.on_own_backing.insert(share.job.clone());
             }
         }
-        ledger
+        backing_use
     }
 
     /// Returns the backing of `account` that it does not use itself.
-    pub fn unused(&self, account: &AccountId) -> Amount {
+    pub fn unused_backing(&self, account: &AccountId) -> Amount {
         let backing = self.backing.get(account).copied().unwrap_or_default();
-        backing.less(self.own_used.get(account).copied().unwrap_or_default())
+        backing.saturating_sub(self.own_used.get(account).copied().unwrap_or_default())
     }
 
     /// Returns the capacity that backs nobody and that no pinned work holds.
@@ -77,45 +77,57 @@
         for amount in self.backing.values() {
             planned += *amount;
         }
-        capacity.less(planned)
+        capacity.saturating_sub(planned)
     }
 
     /// Returns what `account` may take so that every guarantee stays reclaimable.
-    pub fn allowed(&self, account: &AccountId, preemptible: bool, capacity: Amount, free: Amount) -> Amount {
+    pub fn allocatable(
+        &self,
+        account: &AccountId,
+        preemptible: bool,
+        capacity: Amount,
+        free: Amount,
+    ) -> Amount {
         if preemptible {
             return free;
         }
         let backing = self.backing.get(account).copied().unwrap_or_default();
-        let mut allowed = backing.less(self.own_pinned.get(account).copied().unwrap_or_default());
-        allowed += self.spare(capacity);
-        allowed.min(free)
+        let mut allocatable =
+            backing.saturating_sub(self.non_preemptible_held.get(account).copied().unwrap_or_default());
+        allocatable += self.spare(capacity);
+        allocatable.min(free)
     }
 }
 
 /// Chooses the shares that yield until `need` is free, hurting the least work first.
 ///
 /// The lowest class yields first, then the youngest. Returns `None` when not even all of them suffice.
-pub fn victims(shares: &[Share], ledger: &Ledger, free: Amount, need: Amount) -> Option<Vec<JobId>> {
-    let mut order: Vec<&Share> =
-        shares.iter().filter(|s| s.preemptible && !ledger.own.contains(&s.job)).collect();
-    order.sort_by_key(|s| (s.class, std::cmp::Reverse(s.started_ms), s.job.clone()));
+pub fn select_victims(
+    shares: &[Share],
+    backing_use: &BackingUse,
+    free: Amount,
+    required: Amount,
+) -> Option<Vec<JobId>> {
+    let mut by_age: Vec<&Share> =
+        shares.iter().filter(|s| s.preemptible && !backing_use.on_own_backing.contains(&s.job)).collect();
+    by_age.sort_by_key(|s| (s.class, std::cmp::Reverse(s.started_ms), s.job.clone()));
     let mut freed = free;
     let mut chosen = Vec::new();
-    for share in order {
-        if freed.holds(need) {
+    for share in by_age {
+        if freed.covers(required) {
             break;
         }
-        if helps(freed, need, share.held) {
+        if reduces_shortfall(freed, required, share.held) {
             freed += share.held;
             chosen.push(share.job.clone());
         }
     }
-    freed.holds(need).then_some(chosen)
+    freed.covers(required).then_some(chosen)
 }
 
-fn helps(freed: Amount, need: Amount, held: Amount) -> bool {
-    let short = need.less(freed);
-    (short.accelerators > 0 && held.accelerators > 0) || (short.slots > 0 && held.slots > 0)
+fn reduces_shortfall(freed: Amount, required: Amount, held: Amount) -> bool {
+    let shortfall = required.saturating_sub(freed);
+    (shortfall.accelerators > 0 && held.accelerators > 0) || (shortfall.slots > 0 && held.slots > 0)
 }
 
 /// A guarantee that could not be reclaimed on a worker.
@@ -130,12 +142,12 @@
 }
 
 /// Returns the breach on `worker`, if its pinned work stands on somebody's backing.
-pub fn breach(worker: &WorkerId, capacity: Amount, ledger: &Ledger) -> Option<Breach> {
+pub fn find_breach(worker: &WorkerId, capacity: Amount, backing_use: &BackingUse) -> Option<Breach> {
     let mut planned = Amount::default();
-    for amount in ledger.backing.values() {
+    for amount in backing_use.backing.values() {
         planned += *amount;
     }
     let mut held = planned;
-    held += ledger.pinned;
-    (!capacity.holds(held)).then(|| Breach { worker: worker.clone(), planned, pinned: ledger.pinned })
+    held += backing_use.pinned;
+    (!capacity.covers(held)).then(|| Breach { worker: worker.clone(), planned, pinned: backing_use.pinned })
 }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -12,48 +12,48 @@
     /// Requests that this entry has in flight at the agent.
     pub in_flight: u32,
     /// Requests that the agent reported in flight for all entries.
-    pub reported: u32,
+    pub reported_in_flight: u32,
     /// Slots of the upstream.
     pub slots: u32,
     /// Mean service time of the upstream's requests, in milliseconds.
     pub service_ms: f64,
     /// Whether the agent is in the entry's own failure domain.
-    pub near: bool,
+    pub same_domain: bool,
 }
 
 /// One way between failure domains, in milliseconds.
-pub const DOMAIN_HOP_MS: f64 = 1.5;
+pub const CROSS_DOMAIN_ONE_WAY_MS: f64 = 1.5;
 
 impl Candidate {
     /// Returns the expected time until an answer, in milliseconds.
-    pub fn delay_ms(&self) -> f64 {
-        let queued = f64::from(self.in_flight.max(self.reported));
+    pub fn expected_delay_ms(&self) -> f64 {
+        let queued = f64::from(self.in_flight.max(self.reported_in_flight));
         let slots = f64::from(self.slots.max(1));
         let waves = (queued + 1.0) / slots;
-        let hops = if self.near { 0.0 } else { 2.0 * DOMAIN_HOP_MS };
-        hops + self.service_ms.max(0.1) * waves.max(1.0)
+        let network_ms = if self.same_domain { 0.0 } else { 2.0 * CROSS_DOMAIN_ONE_WAY_MS };
+        network_ms + self.service_ms.max(0.1) * waves.max(1.0)
     }
 }
 
 /// Picks the better of two sampled candidates by expected delay.
-pub fn pick(candidates: &[Candidate], rng: &mut impl Rng) -> Option<usize> {
+pub fn pick_of_two(candidates: &[Candidate], rng: &mut impl Rng) -> Option<usize> {
     match candidates.len() {
         0 => None,
         1 => Some(0),
         len => {
             let first = rng.random_range(0..len);
             let second = (first + 1 + rng.random_range(0..len - 1)) % len;
-            let better = candidates[second].delay_ms() < candidates[first].delay_ms();
+            let better = candidates[second].expected_delay_ms() < candidates[first].expected_delay_ms();
             Some(if better { second } else { first })
         }
     }
 }
 
 /// Tokens that one successful first attempt adds to the retry budget.
-const RETRY_DEPOSIT: f64 = 0.1;
+const RETRY_TOKENS_PER_ATTEMPT: f64 = 0.1;
 
 /// Tokens that the retry budget holds at most.
-const RETRY_TOKENS: f64 = 20.0;
+const MAX_RETRY_TOKENS: f64 = 20.0;
 
 /// A budget that keeps retries to a tenth of first attempts, whatever fails.
 #[derive(Clone, Debug, PartialEq)]
@@ -64,12 +64,12 @@
 impl RetryBudget {
     /// Creates a full budget.
     pub fn new() -> Self {
-        Self { tokens: RETRY_TOKENS }
+        Self { tokens: MAX_RETRY_TOKENS }
     }
 
     /// Records a first attempt.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + RETRY_DEPOSIT).min(RETRY_TOKENS);
+        self.tokens = (self.tokens + RETRY_TOKENS_PER_ATTEMPT).min(MAX_RETRY_TOKENS);
     }
 
     /// Takes a token for a retry; returns whether there was one.
@@ -113,9 +113,9 @@
 /// # Errors
 ///
 /// Returns after how many milliseconds the caller should come back.
-pub fn admit(best_delay_ms: f64, left_ms: Millis) -> std::result::Result<(), Millis> {
-    if best_delay_ms <= left_ms as f64 {
+pub fn admit(best_delay_ms: f64, remaining_ms: Millis) -> std::result::Result<(), Millis> {
+    if best_delay_ms <= remaining_ms as f64 {
         return Ok(());
     }
-    Err((best_delay_ms - left_ms as f64).ceil().clamp(1.0, 60_000.0) as Millis)
+    Err((best_delay_ms - remaining_ms as f64).ceil().clamp(1.0, 60_000.0) as Millis)
 }
--- a/crates/core/src/shape.rs
+++ b/crates/core/src/shape.rs
@@ -24,12 +24,12 @@
     }
 
     /// Returns whether this amount holds at least `other` in each resource.
-    pub fn holds(self, other: Self) -> bool {
+    pub fn covers(self, other: Self) -> bool {
         self.slots >= other.slots && self.accelerators >= other.accelerators
     }
 
     /// Returns the amount left after `other` is taken, at least zero in each resource.
-    pub fn less(self, other: Self) -> Self {
+    pub fn saturating_sub(self, other: Self) -> Self {
         Self {
             slots: self.slots.saturating_sub(other.slots),
             accelerators: self.accelerators.saturating_sub(other.accelerators),
@@ -42,9 +42,9 @@
     }
 
     /// Returns how many tasks of `each` fit into this amount.
-    pub fn tasks(self, each: Self) -> u32 {
-        let by_slots = self.slots.checked_div(each.slots).unwrap_or(u32::MAX);
-        let by_accelerators = self.accelerators.checked_div(each.accelerators).unwrap_or(u32::MAX);
+    pub fn tasks(self, per_task: Self) -> u32 {
+        let by_slots = self.slots.checked_div(per_task.slots).unwrap_or(u32::MAX);
+        let by_accelerators = self.accelerators.checked_div(per_task.accelerators).unwrap_or(u32::MAX);
         by_slots.min(by_accelerators)
     }
 
@@ -68,7 +68,7 @@
 
 impl SubAssign for Amount {
     fn sub_assign(&mut self, other: Self) {
-        *self = self.less(other);
+        *self = self.saturating_sub(other);
     }
 }
 
@@ -127,12 +127,12 @@
     }
 
     /// Returns what one task takes.
-    pub const fn each(&self) -> Amount {
+    pub const fn per_task(&self) -> Amount {
         Amount::new(1, self.accelerators)
     }
 
     /// Returns what the whole gang takes.
     pub fn total(&self) -> Amount {
-        self.each().times(self.tasks)
+        self.per_task().times(self.tasks)
     }
 }
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -83,11 +83,11 @@
     /// Returns what the gang holds on `worker`.
     pub fn held(&self, worker: &WorkerId) -> Amount {
         let tasks = self.placement.get(worker).copied().unwrap_or_default();
-        self.demand.shape.each().times(tasks)
+        self.demand.shape.per_task().times(tasks)
     }
 
     /// Returns the gang's share of `worker`; `job` is its name.
-    pub fn share(&self, job: &JobId, worker: &WorkerId) -> Share {
+    pub fn share_on(&self, job: &JobId, worker: &WorkerId) -> Share {
         Share {
             job: job.clone(),
             account: self.demand.account.clone(),
--- a/crates/core/src/tick.rs
+++ b/crates/core/src/tick.rs
@@ -8,7 +8,7 @@
 use crate::id::{AccountId, JobId, WorkerId};
 use crate::pass::Pass;
 use crate::policy::{Millis, Policy, SECOND_MS};
-use crate::queue::order;
+use crate::queue::scheduling_order;
 use crate::shape::Shape;
 use crate::table::{Class, Placement, Tables, Waiting};
 use crate::topology::Standing;
@@ -60,7 +60,7 @@
     /// Workers that are kept for the job.
     pub workers: BTreeSet<WorkerId>,
     /// Estimated time at which the job can start.
-    pub at_ms: Millis,
+    pub start_ms: Millis,
 }
 
 /// Room that others are vacating for a job.
@@ -88,7 +88,7 @@
 
 /// Searches that failed in this tick; room only shrinks within a tick, so they need not be tried again.
 #[derive(Debug, Default)]
-struct Failed {
+struct FailedSearches {
     free: BTreeSet<(Shape, u64, Option<AccountId>, bool)>,
     urgent: BTreeSet<(Shape, Option<AccountId>)>,
     aged: BTreeSet<(Shape, Option<AccountId>)>,
@@ -103,11 +103,11 @@
 
     /// Runs all systems once and returns what to do.
     pub fn tick(&mut self, tables: &Tables, now_ms: Millis) -> Vec<Action> {
-        self.forget_finished(tables, now_ms);
+        self.remove_stale(tables, now_ms);
         let policy = self.policy.clone();
         let mut pass = Pass::new(tables, &policy, &self.yielding, now_ms);
-        self.serve_claims(&mut pass);
-        self.serve_queue(&mut pass);
+        self.process_claims(&mut pass);
+        self.process_queue(&mut pass);
         let actions = pass.into_actions();
         for action in &actions {
             match action {
@@ -123,7 +123,7 @@
         actions
     }
 
-    fn forget_finished(&mut self, tables: &Tables, now_ms: Millis) {
+    fn remove_stale(&mut self, tables: &Tables, now_ms: Millis) {
         let waits = |job: &JobId| tables.waiting.contains_key(job);
         let ready =
             |worker: &WorkerId| tables.workers.get(worker).is_some_and(|w| w.standing == Standing::Ready);
@@ -137,49 +137,55 @@
         self.yielding.retain(|job| tables.running.contains_key(job));
     }
 
-    fn serve_claims(&self, pass: &mut Pass<'_>) {
+    fn process_claims(&self, pass: &mut Pass<'_>) {
         for (job, claim) in &self.claims {
             let demand = &pass.tables.waiting[job].demand;
-            if claim.waits_for.is_empty() && pass.view.holds(&demand.shape, &claim.placement) {
+            if claim.waits_for.is_empty() && pass.view.fits(&demand.shape, &claim.placement) {
                 pass.start(job, demand, claim.placement.clone());
             } else {
-                pass.claim(job, demand, &claim.placement);
+                pass.add_claim(job, demand, &claim.placement);
             }
         }
     }
 
-    fn serve_queue(&mut self, pass: &mut Pass<'_>) {
+    fn process_queue(&mut self, pass: &mut Pass<'_>) {
         let tables = pass.tables;
         let usage = tables.usage();
-        let mut failed = Failed::default();
-        for (job, waiting) in order(tables, &self.policy, &usage, pass.now_ms) {
+        let mut failed = FailedSearches::default();
+        for (job, waiting) in scheduling_order(tables, &self.policy, &usage, pass.now_ms) {
             if !self.claims.contains_key(job) {
-                self.serve(pass, &mut failed, job, waiting);
+                self.schedule_job(pass, &mut failed, job, waiting);
             }
         }
         // Whoever made room for a claim is served again; a claim is never taken back, so this ends.
         loop {
-            let retracted = pass.take_retracted();
-            if retracted.is_empty() {
+            let cancelled_starts = pass.take_cancelled_starts();
+            if cancelled_starts.is_empty() {
                 return;
             }
-            let mut failed = Failed::default();
-            for job in retracted {
+            let mut failed = FailedSearches::default();
+            for job in cancelled_starts {
                 self.claims.remove(&job);
-                self.serve(pass, &mut failed, &job, &tables.waiting[&job]);
+                self.schedule_job(pass, &mut failed, &job, &tables.waiting[&job]);
             }
         }
     }
 
     /// Tries every way to start a job.
-    fn serve(&mut self, pass: &mut Pass<'_>, failed: &mut Failed, job: &JobId, waiting: &Waiting) {
+    fn schedule_job(
+        &mut self,
+        pass: &mut Pass<'_>,
+        failed: &mut FailedSearches,
+        job: &JobId,
+        waiting: &Waiting,
+    ) {
         if let Some(placement) = self.find_free(pass, failed, job, waiting) {
             pass.start(job, &waiting.demand, placement);
             return;
         }
         for cause in [Cause::Guarantee, Cause::Urgent, Cause::Aged] {
             if let Some(claim) = self.find_by_preemption(pass, failed, job, waiting, cause) {
-                pass.claim(job, &waiting.demand, &claim.placement);
+                pass.add_claim(job, &waiting.demand, &claim.placement);
                 self.claims.insert(job.clone(), claim);
                 self.reservations.remove(job);
                 return;
@@ -195,33 +201,33 @@
     fn find_free(
         &self,
         pass: &Pass<'_>,
-        failed: &mut Failed,
+        failed: &mut FailedSearches,
         job: &JobId,
         waiting: &Waiting,
     ) -> Option<Placement> {
         let demand = &waiting.demand;
-        let (kept, mask) = pass.kept_rows(&self.reservations, job, waiting);
+        let (reserved, reservation_mask) = pass.reserved_rows(&self.reservations, job, waiting);
         if !demand.preemptible
-            && let Some(placement) = pass.find_own(demand, &kept)
+            && let Some(placement) = pass.find_on_own_backing(demand, &reserved)
         {
             return Some(placement);
         }
         // Work that cannot be preempted may not borrow, so what it may take depends on the account.
         let account = (!demand.preemptible).then(|| demand.account.clone());
-        let key = (demand.shape, mask, account, pass.is_small(waiting));
+        let key = (demand.shape, reservation_mask, account, pass.is_small(waiting));
         if !failed.free.contains(&key) {
-            if let Some(placement) = pass.find_anywhere(waiting, &kept) {
+            if let Some(placement) = pass.find_anywhere(waiting, &reserved) {
                 return Some(placement);
             }
             failed.free.insert(key);
         }
-        pass.find_own(demand, &BTreeSet::new())
+        pass.find_on_own_backing(demand, &BTreeSet::new())
     }
 
     fn find_by_preemption(
         &mut self,
         pass: &mut Pass<'_>,
-        failed: &mut Failed,
+        failed: &mut FailedSearches,
         job: &JobId,
         waiting: &Waiting,
         cause: Cause,
@@ -230,18 +236,18 @@
         let account = (!demand.preemptible).then(|| demand.account.clone());
         let waited_ms = pass.now_ms.saturating_sub(waiting.since_ms);
         // Aged jobs come in order of age: an older one had more to choose from.
-        let known = match cause {
+        let already_failed = match cause {
             Cause::Guarantee => !failed.guarantee.insert((demand.shape, demand.account.clone())),
             Cause::Urgent if demand.class != Class::Urgent => true,
             Cause::Urgent => !failed.urgent.insert((demand.shape, account.clone())),
             Cause::Aged if waited_ms < self.policy.preempt_after_ms => true,
             Cause::Aged => !failed.aged.insert((demand.shape, account.clone())),
         };
-        if known {
+        if already_failed {
             return None;
         }
-        let (claim, outbid) = pass.find_by_preemption(job, waiting, cause)?;
-        for other in outbid {
+        let (claim, superseded) = pass.find_by_preemption(job, waiting, cause)?;
+        for other in superseded {
             self.claims.remove(&other);
         }
         match cause {
@@ -260,14 +266,15 @@
         }
         let shape = &waiting.demand.shape;
         if let Some(held) = self.reservations.get_mut(job) {
-            held.at_ms = pass.all_empty_at(&held.workers);
+            held.start_ms = pass.all_idle_at_ms(&held.workers);
             return;
         }
         if self.reservations.len() >= self.policy.reservations {
             return;
         }
-        let taken: BTreeSet<&WorkerId> = self.reservations.values().flat_map(|held| &held.workers).collect();
-        if let Some(reservation) = pass.earliest_room(shape, &taken) {
+        let reserved: BTreeSet<&WorkerId> =
+            self.reservations.values().flat_map(|held| &held.workers).collect();
+        if let Some(reservation) = pass.earliest_reservation(shape, &reserved) {
             self.reservations.insert(job.clone(), reservation);
         }
     }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -10,7 +10,7 @@
 
 /// A worker's row of the view.
 #[derive(Clone, Debug)]
-pub struct Cell {
+pub struct WorkerRow {
     /// Name of the worker.
     pub worker: WorkerId,
     /// Resources in all; zero while the worker takes nothing new.
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Rows in order of place.
-    pub cells: Vec<Cell>,
+    pub worker_rows: Vec<WorkerRow>,
     index: BTreeMap<WorkerId, usize>,
     rows: Vec<Range<usize>>,
     racks: Vec<Range<usize>>,
@@ -35,34 +35,34 @@
 
 impl View {
     /// Creates a view of the whole capacity of the workers that back guarantees.
-    pub fn of_capacity(workers: &BTreeMap<WorkerId, Worker>) -> Self {
+    pub fn with_full_capacity(workers: &BTreeMap<WorkerId, Worker>) -> Self {
         Self::build(workers, Worker::backs_guarantees)
     }
 
     /// Creates a view of the free capacity of the ready workers.
-    pub fn of_tables(tables: &Tables) -> Self {
+    pub fn with_free_capacity(tables: &Tables) -> Self {
         let mut view = Self::build(&tables.workers, |w| w.standing == Standing::Ready);
         for running in tables.running.values() {
-            view.take(&running.demand.shape, &running.placement);
+            view.allocate(&running.demand.shape, &running.placement);
         }
         view
     }
 
-    fn build(workers: &BTreeMap<WorkerId, Worker>, open: impl Fn(&Worker) -> bool) -> Self {
+    fn build(workers: &BTreeMap<WorkerId, Worker>, is_usable: impl Fn(&Worker) -> bool) -> Self {
         let mut rows: Vec<(&WorkerId, &Worker)> = workers.iter().collect();
         rows.sort_by(|a, b| (&a.1.place, a.0).cmp(&(&b.1.place, b.0)));
-        let cells = rows
+        let worker_rows = rows
             .iter()
             .map(|(id, worker)| {
-                let total = if open(worker) { worker.capacity } else { Amount::default() };
-                Cell { worker: (*id).clone(), total, free: total, planned: 0 }
+                let total = if is_usable(worker) { worker.capacity } else { Amount::default() };
+                WorkerRow { worker: (*id).clone(), total, free: total, planned: 0 }
             })
             .collect();
-        let index = rows.iter().enumerate().map(|(at, (id, _))| ((*id).clone(), at)).collect();
-        let ranges = |same: fn(&Worker, &Worker) -> bool| split(&rows, same);
+        let index = rows.iter().enumerate().map(|(row, (id, _))| ((*id).clone(), row)).collect();
+        let ranges = |same_group: fn(&Worker, &Worker) -> bool| group_ranges(&rows, same_group);
         Self {
-            rows: (0..rows.len()).map(|at| at..at + 1).collect(),
-            cells,
+            rows: (0..rows.len()).map(|row| row..row + 1).collect(),
+            worker_rows,
             index,
             racks: ranges(|a, b| a.place == b.place),
             domains: ranges(|a, b| a.place.region == b.place.region && a.place.domain == b.place.domain),
@@ -77,7 +77,7 @@
 
     /// Returns the free amounts of all rows.
     pub fn free(&self) -> Vec<Amount> {
-        self.cells.iter().map(|cell| cell.free).collect()
+        self.worker_rows.iter().map(|worker_row| worker_row.free).collect()
     }
 
     /// Returns the groups of rows at a level of the topology.
@@ -91,40 +91,44 @@
     }
 
     /// Returns whether the free amounts hold `shape` at `placement`.
-    pub fn holds(&self, shape: &Shape, placement: &Placement) -> bool {
+    pub fn fits(&self, shape: &Shape, placement: &Placement) -> bool {
         placement.iter().all(|(worker, &tasks)| {
-            self.row(worker).is_some_and(|at| self.cells[at].free.holds(shape.each().times(tasks)))
+            self.row(worker)
+                .is_some_and(|row| self.worker_rows[row].free.covers(shape.per_task().times(tasks)))
         })
     }
 
     /// Takes `shape` at `placement` from the free amounts.
-    pub fn take(&mut self, shape: &Shape, placement: &Placement) {
+    pub fn allocate(&mut self, shape: &Shape, placement: &Placement) {
         for (worker, &tasks) in placement {
-            if let Some(at) = self.row(worker) {
-                self.cells[at].free -= shape.each().times(tasks);
+            if let Some(row) = self.row(worker) {
+                self.worker_rows[row].free -= shape.per_task().times(tasks);
             }
         }
     }
 
     /// Gives `shape` at `placement` back to the free amounts.
-    pub fn give(&mut self, shape: &Shape, placement: &Placement) {
+    pub fn release(&mut self, shape: &Shape, placement: &Placement) {
         for (worker, &tasks) in placement {
-            if let Some(at) = self.row(worker) {
-                let cell = &mut self.cells[at];
-                cell.free += shape.each().times(tasks);
-                cell.free = cell.free.min(cell.total);
+            if let Some(row) = self.row(worker) {
+                let worker_row = &mut self.worker_rows[row];
+                worker_row.free += shape.per_task().times(tasks);
+                worker_row.free = worker_row.free.min(worker_row.total);
             }
         }
     }
 }
 
-fn split(rows: &[(&WorkerId, &Worker)], same: fn(&Worker, &Worker) -> bool) -> Vec<Range<usize>> {
+fn group_ranges(
+    rows: &[(&WorkerId, &Worker)],
+    same_group: fn(&Worker, &Worker) -> bool,
+) -> Vec<Range<usize>> {
     let mut ranges = Vec::new();
     let mut start = 0;
-    for at in 1..=rows.len() {
-        if at == rows.len() || !same(rows[start].1, rows[at].1) {
-            ranges.push(start..at);
-            start = at;
+    for row in 1..=rows.len() {
+        if row == rows.len() || !same_group(rows[start].1, rows[row].1) {
+            ranges.push(start..row);
+            start = row;
         }
     }
     ranges
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -10,7 +10,7 @@
 use sorrelland_core::place::{find, fits_empty};
 use sorrelland_core::plan::propose;
 use sorrelland_core::policy::{HOUR_MS, Policy};
-use sorrelland_core::reclaim::{Ledger, Share, breach};
+use sorrelland_core::reclaim::{BackingUse, Share, find_breach};
 use sorrelland_core::shape::{Amount, Shape, Span};
 use sorrelland_core::table::{Class, Demand, Placement, Running, Tables, Waiting};
 use sorrelland_core::tick::{Action, Scheduler};
@@ -20,7 +20,7 @@
 const CASES: u32 = 2_000;
 const ACCOUNTS: [&str; 3] = ["a", "b", "c"];
 
-fn runner(cases: u32) -> TestRunner {
+fn test_runner(cases: u32) -> TestRunner {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
@@ -37,10 +37,10 @@
     let worker = (0..2_u32, 0..2_u32, 0..3_u32, 1..9_u32, 0..9_u32);
     prop::collection::vec(worker, 1..14).prop_map(|rows| {
         let worker =
-            |(at, (region, domain, rack, slots, accelerators)): (usize, (u32, u32, u32, u32, u32))| {
+            |(index, (region, domain, rack, slots, accelerators)): (usize, (u32, u32, u32, u32, u32))| {
                 let domain = format!("d{region}{domain}");
                 let place = Place::new(&format!("r{region}"), &domain, &format!("{domain}k{rack}"));
-                (WorkerId::new(&format!("w{at:02}")), Worker::new(place, Amount::new(slots, accelerators)))
+                (WorkerId::new(&format!("w{index:02}")), Worker::new(place, Amount::new(slots, accelerators)))
             };
         rows.into_iter().enumerate().map(worker).collect()
     })
@@ -69,9 +69,9 @@
                 tables.accounts.insert(AccountId::new(name), Account::default().with_guarantee(&guarantee));
             }
             tables.plan = propose(&tables.accounts, &tables.workers, &tables.plan);
-            for (at, (demand, since_ms)) in demands.into_iter().enumerate() {
+            for (index, (demand, since_ms)) in demands.into_iter().enumerate() {
                 let waiting = Waiting { demand, since_ms, done_ms: 0 };
-                tables.waiting.insert(JobId::new(&format!("j{at:02}")), waiting);
+                tables.waiting.insert(JobId::new(&format!("j{index:02}")), waiting);
             }
             tables
         },
@@ -86,7 +86,7 @@
         .into_iter()
         .filter_map(|row| {
             let tasks = *placement.get(&row.0)?;
-            row.2.holds(shape.each().times(tasks)).then_some(row)
+            row.2.covers(shape.per_task().times(tasks)).then_some(row)
         })
         .collect();
     prop_assert_eq!(rows.len(), placement.len(), "every worker has the room");
@@ -112,21 +112,21 @@
     tables.waiting.insert(job.clone(), waiting);
 }
 
-fn ledgers(tables: &Tables) -> BTreeMap<WorkerId, Ledger> {
+fn backing_uses(tables: &Tables) -> BTreeMap<WorkerId, BackingUse> {
     let backing = tables.plan.backing();
-    let ledger = |worker: &WorkerId| {
+    let backing_use = |worker: &WorkerId| {
         let on_worker = tables.running.iter().filter(|(_, gang)| gang.placement.contains_key(worker));
-        let shares: Vec<Share> = on_worker.map(|(job, gang)| gang.share(job, worker)).collect();
-        Ledger::new(backing.get(worker).cloned().unwrap_or_default(), &shares)
+        let shares: Vec<Share> = on_worker.map(|(job, gang)| gang.share_on(job, worker)).collect();
+        BackingUse::new(backing.get(worker).cloned().unwrap_or_default(), &shares)
     };
-    tables.workers.keys().map(|worker| (worker.clone(), ledger(worker))).collect()
+    tables.workers.keys().map(|worker| (worker.clone(), backing_use(worker))).collect()
 }
 
 #[test]
 fn find_agrees_with_naive_on_empty_fleets() {
     let case = |(workers, shape): (BTreeMap<WorkerId, Worker>, Shape)| {
         let tables = Tables { workers, ..Tables::new() };
-        let view = View::of_tables(&tables);
+        let view = View::with_free_capacity(&tables);
         let naive = naive::first_fit(&naive::free_amounts(&tables), &shape);
         let core = find(&view, &shape, &view.free());
         prop_assert_eq!(core.is_some(), naive.is_some());
@@ -136,21 +136,21 @@
         }
         Ok(())
     };
-    runner(2 * CASES).run(&(fleet(), shape()), case).unwrap();
+    test_runner(2 * CASES).run(&(fleet(), shape()), case).unwrap();
 }
 
 #[test]
 fn propose_binds_within_capacity_and_keeps_bindings() {
-    runner(CASES)
+    test_runner(CASES)
         .run(&tables(), |tables| {
-            for (worker, ledger) in ledgers(&tables) {
-                prop_assert_eq!(breach(&worker, tables.workers[&worker].capacity, &ledger), None);
+            for (worker, backing_use) in backing_uses(&tables) {
+                prop_assert_eq!(find_breach(&worker, tables.workers[&worker].capacity, &backing_use), None);
             }
-            let again = propose(&tables.accounts, &tables.workers, &tables.plan);
-            prop_assert_eq!(&again.bindings.len(), &tables.plan.bindings.len());
+            let repeated = propose(&tables.accounts, &tables.workers, &tables.plan);
+            prop_assert_eq!(&repeated.bindings.len(), &tables.plan.bindings.len());
             for (account, bindings) in &tables.plan.bindings {
                 for binding in bindings {
-                    prop_assert!(again.bindings[account].contains(binding), "a binding that stands stays");
+                    prop_assert!(repeated.bindings[account].contains(binding), "a binding that stands stays");
                 }
             }
             Ok(())
@@ -160,7 +160,7 @@
 
 #[test]
 fn tick_places_whole_gangs_and_keeps_guarantees_reclaimable() {
-    runner(CASES)
+    test_runner(CASES)
         .run(&tables(), |mut tables| {
             let mut scheduler = Scheduler::new(Policy::new());
             for step in 0..6_u64 {
@@ -181,8 +181,11 @@
                         }
                     }
                 }
-                for (worker, ledger) in ledgers(&tables) {
-                    prop_assert_eq!(breach(&worker, tables.workers[&worker].capacity, &ledger), None);
+                for (worker, backing_use) in backing_uses(&tables) {
+                    prop_assert_eq!(
+                        find_breach(&worker, tables.workers[&worker].capacity, &backing_use),
+                        None
+                    );
                 }
                 yielding.sort();
                 yielding.dedup();
@@ -195,7 +198,7 @@
 
 #[test]
 fn tick_serves_every_entitled_account() {
-    runner(CASES)
+    test_runner(CASES)
         .run(&tables(), |mut tables| {
             let mut scheduler = Scheduler::new(Policy::new());
             let now_ms = 3 * HOUR_MS;
@@ -208,13 +211,16 @@
             for (job, claim) in scheduler.claims.clone() {
                 apply(&mut tables, &job, claim.placement, now_ms);
             }
-            let view = View::of_capacity(&tables.workers);
-            let ledgers = ledgers(&tables);
+            let view = View::with_full_capacity(&tables.workers);
+            let backing_uses = backing_uses(&tables);
             for waiting in tables.waiting.values() {
                 let demand = &waiting.demand;
-                let unused: Vec<Amount> =
-                    view.cells.iter().map(|cell| ledgers[&cell.worker].unused(&demand.account)).collect();
-                let entitled = find(&view, &demand.shape, &unused).is_some();
+                let unused_backing: Vec<Amount> = view
+                    .worker_rows
+                    .iter()
+                    .map(|row| backing_uses[&row.worker].unused_backing(&demand.account))
+                    .collect();
+                let entitled = find(&view, &demand.shape, &unused_backing).is_some();
                 prop_assert!(!entitled, "{} could stand on its own backing and has neither", demand.account);
             }
             Ok(())
--- a/crates/daemon/src/agent/authority.rs
+++ b/crates/daemon/src/agent/authority.rs
@@ -4,7 +4,7 @@
 
 use sorrelland_core::id::{JobId, WorkerId};
 use sorrelland_core::policy::Millis;
-use sorrelland_core::reclaim::{Ledger, Share, victims};
+use sorrelland_core::reclaim::{BackingUse, Share, select_victims};
 use sorrelland_core::shape::Amount;
 use sorrelland_core::table::Class;
 use sorrelland_core::tick::{Cause, URGENT_GRACE_MS};
@@ -143,19 +143,19 @@
         }
         let need = r.each.times(r.tasks);
         let shares = self.shares();
-        let ledger = self.ledger(&shares);
+        let backing_use = self.backing_use(&shares);
         let free = self.free_for(&r.job, now_ms);
-        if ledger.allowed(&r.account, r.preemptible, self.capacity, free).holds(need) {
+        if backing_use.allocatable(&r.account, r.preemptible, self.capacity, free).covers(need) {
             return refused(self.hold(r, now_ms));
         }
-        let own = ledger.unused(&r.account).holds(need);
+        let own = backing_use.unused_backing(&r.account).covers(need);
         let cause = if own { Some(Cause::Guarantee) } else { r.cause.filter(|c| *c != Cause::Guarantee) };
         let Some(cause) = cause else { return refused(ReserveReply::Busy { free }) };
-        let reach = ledger.allowed(&r.account, r.preemptible, self.capacity, self.capacity);
-        if !own && !reach.holds(need) {
+        let reach = backing_use.allocatable(&r.account, r.preemptible, self.capacity, self.capacity);
+        if !own && !reach.covers(need) {
             return refused(ReserveReply::Busy { free });
         }
-        self.make_room(r, cause, &shares, &ledger, now_ms)
+        self.make_room(r, cause, &shares, &backing_use, now_ms)
     }
 
     fn hold(&mut self, r: &Reserve, now_ms: Millis) -> ReserveReply {
@@ -194,7 +194,7 @@
         r: &Reserve,
         cause: Cause,
         shares: &[Share],
-        ledger: &Ledger,
+        backing_use: &BackingUse,
         now_ms: Millis,
     ) -> (ReserveReply, Vec<JobId>) {
         let need = r.each.times(r.tasks);
@@ -211,7 +211,7 @@
         }
         let candidates: Vec<Share> =
             staying.into_iter().filter(|s| cause == Cause::Guarantee || s.class < Class::Urgent).collect();
-        let Some(yielding) = victims(&candidates, ledger, vacated, need) else {
+        let Some(yielding) = select_victims(&candidates, backing_use, vacated, need) else {
             return (ReserveReply::Busy { free: self.free_for(&r.job, now_ms) }, Vec::new());
         };
         let grace_ms = match cause {
@@ -322,9 +322,9 @@
         self.grants.iter().map(share).collect()
     }
 
-    fn ledger(&self, shares: &[Share]) -> Ledger {
+    fn backing_use(&self, shares: &[Share]) -> BackingUse {
         let backing = self.config.as_ref().map(|config| config.backing.clone()).unwrap_or_default();
-        Ledger::new(backing, shares)
+        BackingUse::new(backing, shares)
     }
 
     fn free_for(&self, job: &JobId, now_ms: Millis) -> Amount {
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -195,7 +195,7 @@
                 epoch: gang.epoch,
                 incarnation: self.agent_life(&member.worker),
                 account: spec.demand.account.clone(),
-                each: spec.demand.shape.each(),
+                each: spec.demand.shape.per_task(),
                 tasks: placement[&member.worker],
                 class: spec.demand.class,
                 preemptible: spec.demand.preemptible && spec.idempotent,
--- a/crates/daemon/src/entry/fleet.rs
+++ b/crates/daemon/src/entry/fleet.rs
@@ -147,8 +147,8 @@
     pub fn judge(&mut self, worker: &WorkerId, worked: bool) {
         let now_ms = self.now_ms();
         if worked {
-            self.outcomes.succeed(worker);
-        } else if self.outcomes.fail(worker, self.rows.len(), now_ms) {
+            self.outcomes.record_success(worker);
+        } else if self.outcomes.record_failure(worker, self.rows.len(), now_ms) {
             log::warn!("worker {worker} is ejected: it fails what it starts");
         }
     }
@@ -160,7 +160,7 @@
             Standing::Lost
         } else if row.report.draining {
             Standing::Draining
-        } else if self.outcomes.is_out(worker, self.now_ms()) {
+        } else if self.outcomes.is_ejected(worker, self.now_ms()) {
             Standing::Ejected
         } else {
             Standing::Ready
@@ -216,10 +216,10 @@
         let candidate = |(id, row): (&WorkerId, &Row)| {
             let candidate = Candidate {
                 in_flight: row.in_flight,
-                reported: row.reported,
+                reported_in_flight: row.reported,
                 slots: row.report.capacity.slots,
                 service_ms: f64::from(row.service_us) / 1_000.0,
-                near: *row.report.place.domain == self.domain,
+                same_domain: *row.report.place.domain == self.domain,
             };
             (id.clone(), candidate)
         };
--- a/crates/daemon/src/entry/query.rs
+++ b/crates/daemon/src/entry/query.rs
@@ -148,8 +148,8 @@
         }
         let tables = self.tables(wall_ms());
         let shape = job.spec.demand.shape;
-        let view = sorrelland_core::view::View::of_tables(&tables);
-        let free: u32 = view.cells.iter().map(|cell| cell.free.accelerators).sum();
+        let view = sorrelland_core::view::View::with_free_capacity(&tables);
+        let free: u32 = view.worker_rows.iter().map(|row| row.free.accelerators).sum();
         let fits = sorrelland_core::place::find(&view, &shape, &view.free()).is_some();
         if fits {
             reasons.push(format!("room for {shape} is free; it starts with the next pass"));
@@ -160,7 +160,7 @@
         let scheduler = lock(&self.scheduler);
         if let Some(held) = scheduler.reservations.get(name) {
             let workers: Vec<&str> = held.workers.iter().map(WorkerId::as_str).collect();
-            let in_ms = held.at_ms.saturating_sub(wall_ms());
+            let in_ms = held.start_ms.saturating_sub(wall_ms());
             reasons.push(format!("{} are kept for it, estimated free in {in_ms} ms", workers.join(", ")));
         }
         reasons
--- a/crates/daemon/src/entry/rows.rs
+++ b/crates/daemon/src/entry/rows.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 use sorrelland_core::id::{JobId, WorkerId};
-use sorrelland_core::reclaim::{Ledger, Share};
+use sorrelland_core::reclaim::{BackingUse, Share};
 use sorrelland_core::shape::{Amount, Shape};
 use sorrelland_core::table::{Running, Tables};
 use sorrelland_lang::select::Row;
@@ -189,15 +189,18 @@
     let mut rows = Vec::new();
     for (worker, backing) in tables.plan.backing() {
         let shares = shares_on(tables, &worker);
-        let ledger = Ledger::new(backing.clone(), &shares);
+        let backing_use = BackingUse::new(backing.clone(), &shares);
         let capacity = tables.workers.get(&worker).map(|w| w.capacity).unwrap_or_default();
         let mut free = capacity;
         shares.iter().for_each(|share| free -= share.held);
-        let borrowers: Vec<&JobId> =
-            shares.iter().filter(|share| !ledger.own.contains(&share.job)).map(|share| &share.job).collect();
+        let borrowers: Vec<&JobId> = shares
+            .iter()
+            .filter(|share| !backing_use.on_own_backing.contains(&share.job))
+            .map(|share| &share.job)
+            .collect();
         for (account, amount) in &backing {
-            let own = ledger.own_used.get(account).copied().unwrap_or_default().accelerators;
-            let lent = ledger.unused(account).accelerators.saturating_sub(free.accelerators);
+            let own = backing_use.own_used.get(account).copied().unwrap_or_default().accelerators;
+            let lent = backing_use.unused_backing(account).accelerators.saturating_sub(free.accelerators);
             rows.push(row([
                 ("account", json!(account)),
                 ("worker", json!(worker)),
@@ -213,7 +216,7 @@
 
 fn shares_on(tables: &Tables, worker: &WorkerId) -> Vec<Share> {
     let on_worker = tables.running.iter().filter(|(_, gang)| gang.placement.contains_key(worker));
-    on_worker.map(|(job, gang)| gang.share(job, worker)).collect()
+    on_worker.map(|(job, gang)| gang.share_on(job, worker)).collect()
 }
 
 /// Returns the commands that the fold remembers.
--- a/crates/daemon/src/entry/short.rs
+++ b/crates/daemon/src/entry/short.rs
@@ -4,7 +4,7 @@
 
 use sorrelland_core::id::{AccountId, WorkerId};
 use sorrelland_core::policy::Millis;
-use sorrelland_core::route::{NotRun, admit, pick};
+use sorrelland_core::route::{NotRun, admit, pick_of_two};
 use sorrelland_lease::Key;
 use sorrelland_wire::agent::{Exec, ExecReply, Outcome};
 use sorrelland_wire::connect::{CallError, within};
@@ -56,7 +56,7 @@
     pub(super) fn mint_key(&self) -> Option<Key> {
         let fleet = lock(&self.fleet);
         let (workers, candidates): (Vec<_>, Vec<_>) = fleet.candidates(&[]).into_iter().unzip();
-        let at = pick(&candidates, &mut rand::rng())?;
+        let at = pick_of_two(&candidates, &mut rand::rng())?;
         let window = fleet.rows().get(&workers[at])?.report.window.clone();
         Some(Key { window, nonce: rand::random() })
     }
@@ -180,10 +180,10 @@
     fn choose(&self, call: &Call<'_>, tried: &[WorkerId]) -> Result<(WorkerId, String), Outcome> {
         let fleet = lock(&self.fleet);
         let (workers, candidates): (Vec<_>, Vec<_>) = fleet.candidates(tried).into_iter().unzip();
-        let Some(at) = pick(&candidates, &mut rand::rng()) else {
+        let Some(at) = pick_of_two(&candidates, &mut rand::rng()) else {
             return Err(Outcome::NotRun { reason: NotRun::NoUpstream, retry_ms: RETRY_MS });
         };
-        if let Err(retry_ms) = admit(candidates[at].delay_ms(), call.left_ms()) {
+        if let Err(retry_ms) = admit(candidates[at].expected_delay_ms(), call.left_ms()) {
             return Err(Outcome::NotRun { reason: NotRun::Deadline, retry_ms });
         }
         let address = fleet.rows()[&workers[at]].report.address.clone();
--- a/crates/replay/src/measure.rs
+++ b/crates/replay/src/measure.rs
@@ -186,8 +186,8 @@
         let span = span_ms as f64;
         self.total_ms += span;
         let Some(largest) = largest_waiting(&tables.waiting) else { return };
-        let view = View::of_tables(tables);
-        let free: u32 = view.cells.iter().map(|cell| cell.free.accelerators).sum();
+        let view = View::with_free_capacity(tables);
+        let free: u32 = view.worker_rows.iter().map(|row| row.free.accelerators).sum();
         let all: u32 = tables.workers.values().map(|worker| worker.capacity.accelerators).sum();
         if free == 0 {
             return;
@@ -229,9 +229,9 @@
 
 /// Returns how many free accelerators whole gangs of `shape` could take.
 fn usable(view: &View, shape: &Shape) -> u32 {
-    let each = shape.each();
+    let each = shape.per_task();
     let groups = view.groups(shape.span).iter().map(|group| {
-        let tasks: u32 = view.cells[group.clone()].iter().map(|cell| cell.free.tasks(each)).sum();
+        let tasks: u32 = view.worker_rows[group.clone()].iter().map(|row| row.free.tasks(each)).sum();
         tasks / shape.tasks.max(1)
     });
     groups.sum::<u32>() * shape.total().accelerators
--- a/crates/replay/src/sim.rs
+++ b/crates/replay/src/sim.rs
@@ -11,7 +11,7 @@
 use sorrelland_core::plan::propose;
 use sorrelland_core::policy::{Millis, SECOND_MS};
 use sorrelland_core::queue::admit;
-use sorrelland_core::reclaim::{Ledger, Share, breach};
+use sorrelland_core::reclaim::{BackingUse, Share, find_breach};
 use sorrelland_core::shape::{Amount, Shape};
 use sorrelland_core::table::{Class, Placement, Running, Tables, Waiting};
 use sorrelland_core::tick::{Action, Scheduler};
@@ -241,7 +241,7 @@
         for (id, worker) in &mut self.tables.workers {
             worker.standing = if self.lost.contains(id) {
                 Standing::Lost
-            } else if self.policy != Policy::Naive && self.outcomes.is_out(id, self.now_ms) {
+            } else if self.policy != Policy::Naive && self.outcomes.is_ejected(id, self.now_ms) {
                 Standing::Ejected
             } else {
                 Standing::Ready
@@ -259,7 +259,7 @@
         let Some(running) = self.tables.running.remove(job) else { return };
         let trace = self.traces[job];
         for worker in running.placement.keys() {
-            self.outcomes.succeed(worker);
+            self.outcomes.record_success(worker);
         }
         if self.policy != Policy::Naive {
             let history = self.tables.history.entry(running.demand.account.clone()).or_default();
@@ -276,7 +276,7 @@
         self.measure.failures += 1;
         let workers: Vec<WorkerId> = self.tables.running[job].placement.keys().cloned().collect();
         for worker in workers.iter().filter(|worker| self.failing.contains(*worker)) {
-            self.outcomes.fail(worker, self.tables.workers.len(), self.now_ms);
+            self.outcomes.record_failure(worker, self.tables.workers.len(), self.now_ms);
         }
         self.requeue(job, 0);
     }
@@ -368,8 +368,8 @@
 
     /// Counts guarantees that are pinned by others, and those not given back within the grace.
     fn check_guarantees(&mut self) {
-        let view = View::of_tables(&self.tables);
-        let mut shares: Vec<Vec<Share>> = vec![Vec::new(); view.cells.len()];
+        let view = View::with_free_capacity(&self.tables);
+        let mut shares: Vec<Vec<Share>> = vec![Vec::new(); view.worker_rows.len()];
         for (job, running) in &self.tables.running {
             place_shares(&view, &mut shares, job, running);
         }
@@ -386,22 +386,22 @@
             place_shares(&view, &mut shares, job, &claimed);
         }
         let mut backing = self.tables.plan.backing();
-        let ledgers: Vec<Ledger> = view
-            .cells
+        let backing_uses: Vec<BackingUse> = view
+            .worker_rows
             .iter()
             .zip(&shares)
-            .map(|(cell, on_cell)| Ledger::new(backing.remove(&cell.worker).unwrap_or_default(), on_cell))
+            .map(|(row, on_cell)| BackingUse::new(backing.remove(&row.worker).unwrap_or_default(), on_cell))
             .collect();
-        for (cell, ledger) in view.cells.iter().zip(&ledgers) {
-            let capacity = self.tables.workers[&cell.worker].capacity;
-            if breach(&cell.worker, capacity, ledger).is_some() {
+        for (row, backing_use) in view.worker_rows.iter().zip(&backing_uses) {
+            let capacity = self.tables.workers[&row.worker].capacity;
+            if find_breach(&row.worker, capacity, backing_use).is_some() {
                 self.measure.breaches += 1;
             }
         }
-        self.check_entitled(&view, &ledgers);
+        self.check_entitled(&view, &backing_uses);
     }
 
-    fn check_entitled(&mut self, view: &View, ledgers: &[Ledger]) {
+    fn check_entitled(&mut self, view: &View, backing_uses: &[BackingUse]) {
         let bound_ms = self.scheduler.policy.checkpoint_grace_ms + RECLAIM_MARGIN_MS;
         let mut entitled = BTreeSet::new();
         for (job, waiting) in &self.tables.waiting {
@@ -413,15 +413,13 @@
             let claim = self.scheduler.claims.get(job);
             let claimed = claim.is_some_and(|claim| {
                 let mut rows = claim.placement.keys().filter_map(|worker| view.row(worker));
-                rows.all(|at| ledgers[at].own.contains(job))
+                rows.all(|at| backing_uses[at].on_own_backing.contains(job))
             });
-            let rows = view.cells.iter().zip(ledgers);
+            let rows = view.worker_rows.iter().zip(backing_uses);
             let unused: Vec<Amount> = rows
-                .map(
-                    |(cell, ledger)| {
-                        if cell.total.is_zero() { Amount::default() } else { ledger.unused(account) }
-                    },
-                )
+                .map(|(row, backing_use)| {
+                    if row.total.is_zero() { Amount::default() } else { backing_use.unused_backing(account) }
+                })
                 .collect();
             if claimed || find(view, &waiting.demand.shape, &unused).is_some() {
                 entitled.insert(job.clone());
@@ -440,7 +438,7 @@
 fn place_shares(view: &View, shares: &mut [Vec<Share>], job: &JobId, running: &Running) {
     for worker in running.placement.keys() {
         if let Some(at) = view.row(worker) {
-            shares[at].push(running.share(job, worker));
+            shares[at].push(running.share_on(job, worker));
         }
     }
 }
