--- a/crates/core/src/pass.rs
+++ b/crates/core/src/pass.rs
@@ -1,4 +1,4 @@
-//! The working state of one scheduling pass.
+//! Working state of one scheduling pass.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,22 +11,21 @@
 use crate::tick::{Action, CLAIM_MARGIN_MS, Cause, Claim, Reservation, URGENT_GRACE_MS};
 use crate::view::View;
 
-/// Estimated run time below which work is small for the separation of sizes, in milliseconds.
+/// Estimated remaining run time below which a job is small for the separation of job sizes.
 const MAX_SMALL_JOB_MS: Millis = 20 * 60 * SECOND_MS;
 
-/// Share of the rows that small work gets when sizes are separated.
+/// Fraction of the worker rows that small jobs get while job sizes are separated.
 const SMALL_JOB_ROW_FRACTION: f64 = 0.25;
 
-/// Load at which the separation of sizes sets in, as held and waiting accelerators over all accelerators.
+/// Load from which job sizes are separated: held and requested accelerators divided by all accelerators.
 const MIN_SIZE_SEPARATION_LOAD: f64 = 1.5;
 
-/// Rows, shares and ledgers as they change within a pass.
+/// Free resources, shares and use of backing, updated with each decision of the pass.
 pub struct Pass<'a> {
-    /// Entities.
+    /// Entities at the start of the pass.
     pub tables: &'a Tables,
-    /// Time of the pass.
     pub now_ms: Millis,
-    /// Free amounts.
+    /// Free resources after the starts of this pass.
     pub view: View,
     policy: &'a Policy,
     shares: Vec<Vec<Share>>,
@@ -42,7 +41,7 @@
 }
 
 impl<'a> Pass<'a> {
-    /// Creates the state of a pass at `now_ms`; `yielding` are gangs that were asked to yield before.
+    /// Creates the state of a pass at `now_ms`; `yielding` are the gangs that earlier passes asked to yield.
     pub fn new(tables: &'a Tables, policy: &'a Policy, yielding: &BTreeSet<JobId>, now_ms: Millis) -> Self {
         let mut view = View::with_free_capacity(tables);
         let mut shares: Vec<Vec<Share>> = vec![Vec::new(); view.worker_rows.len()];
@@ -82,12 +81,11 @@
         }
     }
 
-    /// Returns what the pass decided.
     pub fn into_actions(self) -> Vec<Action> {
         self.actions
     }
 
-    /// Starts a job on free room.
+    /// Starts a job on free resources.
     pub fn start(&mut self, job: &JobId, demand: &Demand, placement: Placement) {
         self.view.allocate(&demand.shape, &placement);
         self.add_shares(job, demand, &placement);
@@ -95,7 +93,7 @@
         self.actions.push(Action::Start { job: job.clone(), placement });
     }
 
-    /// Takes back a start of this pass whose room a guarantee or urgent work needs.
+    /// Cancels a start of this pass whose resources another job reclaims by preemption.
     fn cancel_start(&mut self, job: &JobId) {
         let Some(placement) = self.started.remove(job) else { return };
         let shape = self.tables.waiting[job].demand.shape;
@@ -105,12 +103,12 @@
         self.cancelled_starts.push(job.clone());
     }
 
-    /// Returns the jobs whose starts were taken back since the last call.
+    /// Returns the jobs whose starts were cancelled since the last call.
     pub fn take_cancelled_starts(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.cancelled_starts)
     }
 
-    /// Keeps room that others are vacating.
+    /// Sets aside resources that other jobs are releasing for this one.
     pub fn add_claim(&mut self, job: &JobId, demand: &Demand, placement: &Placement) {
         for (worker, &tasks) in placement {
             if let Some(row) = self.view.row(worker) {
@@ -121,7 +119,7 @@
         self.claims.insert(job.clone(), placement.clone());
     }
 
-    /// Drops a claim that a guarantee outbids.
+    /// Removes a claim that a guarantee or urgent work supersedes.
     fn remove_claim(&mut self, job: &JobId) {
         let Some(placement) = self.claims.remove(job) else { return };
         let per_task = self.tables.waiting[job].demand.shape.per_task();
@@ -165,12 +163,12 @@
         self.view.worker_rows[row].free.saturating_sub(self.claimed[row])
     }
 
-    /// Returns whether a job is small for the separation of sizes.
+    /// Returns whether job sizes are separated and this job counts as small.
     pub fn is_small(&self, waiting: &Waiting) -> bool {
         self.separates_sizes && self.tables.remaining_ms(waiting) < MAX_SMALL_JOB_MS
     }
 
-    /// Finds free room on the account's own backing outside the kept rows.
+    /// Finds free resources within the account's own backing, outside the reserved rows.
     pub fn find_on_own_backing(&self, demand: &Demand, reserved: &BTreeSet<usize>) -> Option<Placement> {
         self.find_on_backing(demand, |row| {
             let unused_backing = self.backing_uses[row].unused_backing(&demand.account);
@@ -182,7 +180,7 @@
         })
     }
 
-    /// Finds room among the rows that back the account.
+    /// Finds a placement on the rows that back the account; `amount` gives what may be used on each row.
     fn find_on_backing(&self, demand: &Demand, amount: impl Fn(usize) -> Amount) -> Option<Placement> {
         let rows = self.backed_rows.get(&demand.account)?;
         let per_task = demand.shape.per_task();
@@ -199,7 +197,7 @@
         find(&self.view, &demand.shape, &amounts)
     }
 
-    /// Finds free room anywhere outside the kept rows, borrowed if need be.
+    /// Finds free resources on any row that is not reserved, including the backing of other accounts.
     pub fn find_anywhere(&self, waiting: &Waiting, reserved: &BTreeSet<usize>) -> Option<Placement> {
         let demand = &waiting.demand;
         let mut amounts = self.allocatable_amounts(waiting, reserved);
@@ -232,9 +230,9 @@
         (0..self.view.worker_rows.len()).map(amount).collect()
     }
 
-    /// Returns the rows that reservations of other jobs keep from this one, and a mask of those reservations.
+    /// Returns the rows reserved for other jobs, and a bit mask of those reservations.
     ///
-    /// Preemptible work that is estimated to end in time may run there meanwhile.
+    /// Preemptible work that is estimated to end before a reservation starts may use its rows (backfill).
     pub fn reserved_rows(
         &self,
         reservations: &BTreeMap<JobId, Reservation>,
@@ -244,10 +242,10 @@
         let end_ms = self.now_ms + self.tables.remaining_ms(waiting);
         let mut rows = BTreeSet::new();
         let mut reservation_mask = 0;
-        for (number, (other, held)) in reservations.iter().enumerate() {
-            let backfills = waiting.demand.preemptible && end_ms <= held.start_ms;
+        for (number, (other, reservation)) in reservations.iter().enumerate() {
+            let backfills = waiting.demand.preemptible && end_ms <= reservation.start_ms;
             if other != job && !backfills {
-                rows.extend(held.workers.iter().filter_map(|worker| self.view.row(worker)));
+                rows.extend(reservation.workers.iter().filter_map(|worker| self.view.row(worker)));
                 reservation_mask |= 1 << (number % 64);
             }
         }
@@ -259,7 +257,9 @@
         (row < boundary) == small
     }
 
-    /// Finds room that others can vacate and asks them to yield; returns the room and the claims it outbids.
+    /// Finds a placement that preemption can free and asks its victims to yield.
+    ///
+    /// Returns the claim on the placement and the jobs whose claims it supersedes.
     pub fn find_by_preemption(
         &mut self,
         job: &JobId,
@@ -315,16 +315,17 @@
         Some((Claim { placement, waits_for, until_ms }, superseded))
     }
 
-    /// Returns the gangs on the workers of a placement that were asked to yield before.
+    /// Returns the gangs on the workers of a placement that were already asked to yield.
     fn yielding_on(&self, placement: &Placement) -> BTreeSet<JobId> {
         let rows = placement.keys().filter_map(|worker| self.view.row(worker));
         let shares = rows.flat_map(|row| &self.shares[row]);
         shares.filter(|share| self.yielding.contains(&share.job)).map(|share| share.job.clone()).collect()
     }
 
-    /// Returns whether a share is a claim that this cause goes before.
+    /// Returns whether a share is a claim that a preemption for this cause supersedes.
     ///
-    /// A guarantee goes before all claims on its backing by others, urgent work before those of other classes.
+    /// A guarantee supersedes every claim that its account's own backing does not cover. Urgent work
+    /// supersedes such claims of lower classes.
     fn is_superseded(&self, row: usize, share: &Share, cause: Cause) -> bool {
         let foreign = self.claims.contains_key(&share.job)
             && !self.backing_uses[row].on_own_backing.contains(&share.job);
@@ -335,7 +336,7 @@
         }
     }
 
-    /// Returns what the job could hold on a row after every possible preemption for this cause.
+    /// Returns what the job could hold on a row after every permitted preemption for this cause.
     fn attainable(&self, row: usize, waiting: &Waiting, cause: Cause) -> Amount {
         let demand = &waiting.demand;
         let backing_use = &self.backing_uses[row];
@@ -356,14 +357,14 @@
         }
     }
 
-    /// Returns what is free on a row once the work that yields already has gone.
+    /// Returns what is free on a row once the gangs that were already asked to yield have released it.
     fn free_after_yields(&self, row: usize, waiting: &Waiting, cause: Cause) -> Amount {
         let urgent = waiting.demand.class == Class::Urgent;
         let mut held = Amount::default();
         for share in &self.shares[row] {
             let released = match self.claims.contains_key(&share.job) {
                 true => self.is_superseded(row, share, cause),
-                // Urgent work cannot wait for a long grace: it asks again with its own.
+                // Urgent work cannot wait for a longer grace period: it preempts again with its own.
                 false => !urgent && self.yielding.contains(&share.job),
             };
             if !released {
@@ -393,14 +394,14 @@
         }
     }
 
-    /// Returns whether an aged job goes before a running gang; it is a strict order, so nothing yields in a circle.
+    /// Returns whether an aged job may preempt a running gang; a strict order, so preemptions form no cycle.
     fn precedes(&self, waiting: &Waiting, running: &Running) -> bool {
         let width = |shape: &Shape| if self.policy.wide_first { shape.total().accelerators } else { 0 };
         let (own_width, other_width) = (width(&waiting.demand.shape), width(&running.demand.shape));
         own_width > other_width || (own_width == other_width && waiting.since_ms < running.since_ms)
     }
 
-    /// Returns the group of workers that is estimated to have room first.
+    /// Returns a reservation on the group of workers that is estimated to fit the shape earliest.
     pub fn earliest_reservation(&self, shape: &Shape, reserved: &BTreeSet<&WorkerId>) -> Option<Reservation> {
         let mut best: Option<Reservation> = None;
         for group in self.view.groups(shape.span) {
@@ -414,7 +415,7 @@
         best
     }
 
-    /// Returns the estimated time at which all of `workers` hold nothing.
+    /// Returns the estimated time at which all of `workers` are idle.
     pub fn all_idle_at_ms(&self, workers: &BTreeSet<WorkerId>) -> Millis {
         let rows = workers.iter().filter_map(|worker| self.view.row(worker));
         rows.map(|row| self.idle_at_ms(row)).max().unwrap_or(self.now_ms)
@@ -442,14 +443,16 @@
         None
     }
 
-    /// Returns the estimated time at which a row holds nothing.
+    /// Returns the estimated time at which the last gang on a row ends.
     fn idle_at_ms(&self, row: usize) -> Millis {
         let ends = self.shares[row].iter().filter_map(|share| self.tables.running.get(&share.job));
         ends.map(|running| estimated_end_ms(self.tables, running, self.now_ms)).max().unwrap_or(self.now_ms)
     }
 }
 
-/// Returns the estimated end of a running gang; one that overran is assumed to run half as long again.
+/// Returns the estimated end of a running gang.
+///
+/// A gang past its estimate is assumed to run for another half of its elapsed time, plus one second.
 fn estimated_end_ms(tables: &Tables, running: &Running, now_ms: Millis) -> Millis {
     let remaining_ms = tables.estimate_ms(&running.demand).saturating_sub(running.done_ms);
     let end_ms = running.started_ms + remaining_ms;
@@ -459,7 +462,7 @@
     now_ms + now_ms.saturating_sub(running.started_ms) / 2 + SECOND_MS
 }
 
-/// Returns held and waiting accelerators over all accelerators.
+/// Returns the held and requested accelerators divided by all accelerators.
 fn accelerator_load(tables: &Tables) -> f64 {
     let total: u32 = tables.workers.values().map(|w| w.capacity.accelerators).sum();
     let held: u32 = tables.running.values().map(|r| r.demand.shape.total().accelerators).sum();
--- a/crates/core/src/tick.rs
+++ b/crates/core/src/tick.rs
@@ -1,4 +1,4 @@
-//! The scheduling systems that run over the tables each tick.
+//! The scheduler, which runs over the tables at each tick.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,25 +13,25 @@
 use crate::table::{Class, Placement, Tables, Waiting};
 use crate::topology::Standing;
 
-/// Grace for a checkpoint when urgent work needs the room, in milliseconds.
+/// Grace period for a checkpoint when urgent work needs the resources.
 pub const URGENT_GRACE_MS: Millis = SECOND_MS;
 
-/// Time on top of the grace after which a claim is given up, in milliseconds.
+/// Time after the grace period at which an unfulfilled claim expires.
 pub const CLAIM_MARGIN_MS: Millis = 200;
 
 /// Why a gang is asked to yield.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The account whose backing the gang borrows takes it back.
+    /// The account whose backing the gang borrows reclaims it.
     Guarantee,
-    /// Urgent work needs the room.
+    /// Urgent work needs the resources.
     Urgent,
-    /// An older job passed the bound on its wait.
+    /// A job has waited longer than `Policy::preempt_after_ms`.
     Aged,
 }
 
-/// What the driver has to do.
+/// Decision that the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Start a waiting job.
@@ -41,52 +41,52 @@
         /// Tasks on each worker.
         placement: Placement,
     },
-    /// Checkpoint a running gang, and stop it when the grace ends.
+    /// Checkpoint a running gang, and stop it at the end of the grace period.
     Preempt {
         /// Job that yields.
         job: JobId,
-        /// Job that gets the room.
+        /// Job that gets the resources.
         for_job: JobId,
-        /// Why it yields.
         cause: Cause,
-        /// Grace for the checkpoint in milliseconds.
+        /// Grace period for the checkpoint.
         grace_ms: Millis,
     },
 }
 
-/// Room that an aged job waits for.
+/// Workers reserved for an aged job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// Workers that are kept for the job.
+    /// Workers that other jobs may use only for backfill or within their own backing.
     pub workers: BTreeSet<WorkerId>,
     /// Estimated time at which the job can start.
     pub start_ms: Millis,
 }
 
-/// Room that others are vacating for a job.
+/// Resources that preempted gangs are releasing for a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// Tasks on each worker.
     pub placement: Placement,
-    /// Gangs that have to be gone first; without them the claim would take room that others wait for.
+    /// Gangs that must end first; otherwise the claim could start on resources that other claims wait for.
     pub waits_for: BTreeSet<JobId>,
-    /// Time after which the claim is given up and the job looks for room anew.
+    /// Time after which the claim expires and the job is scheduled anew.
     pub until_ms: Millis,
 }
 
-/// The state that the scheduling systems keep from tick to tick; all of it can be lost.
+/// State kept from tick to tick; losing it is safe, since later ticks rebuild it.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
-    /// Weights and bounds.
     pub policy: Policy,
-    /// Room kept for aged jobs.
+    /// Workers reserved for aged jobs.
     pub reservations: BTreeMap<JobId, Reservation>,
-    /// Room that is being vacated, by the job that gets it.
+    /// Resources that are being released, by the job that gets them.
     pub claims: BTreeMap<JobId, Claim>,
     yielding: BTreeSet<JobId>,
 }
 
-/// Searches that failed in this tick; room only shrinks within a tick, so they need not be tried again.
+/// Searches that failed in this tick.
+///
+/// Free resources only shrink within a tick, so the same search is not repeated.
 #[derive(Debug, Default)]
 struct FailedSearches {
     free: BTreeSet<(Shape, u64, Option<AccountId>, bool)>,
@@ -96,12 +96,11 @@
 }
 
 impl Scheduler {
-    /// Creates a scheduler with a policy.
     pub fn new(policy: Policy) -> Self {
         Self { policy, reservations: BTreeMap::new(), claims: BTreeMap::new(), yielding: BTreeSet::new() }
     }
 
-    /// Runs all systems once and returns what to do.
+    /// Runs one scheduling pass and returns its decisions.
     pub fn tick(&mut self, tables: &Tables, now_ms: Millis) -> Vec<Action> {
         self.remove_stale(tables, now_ms);
         let policy = self.policy.clone();
@@ -130,10 +129,10 @@
         self.claims
             .retain(|job, claim| waits(job) && now_ms <= claim.until_ms && claim.placement.keys().all(ready));
         for claim in self.claims.values_mut() {
-            // A victim that runs again later is another matter.
+            // A victim that stopped and runs again later must not hold up the claim.
             claim.waits_for.retain(|victim| tables.running.contains_key(victim));
         }
-        self.reservations.retain(|job, held| waits(job) && held.workers.iter().all(ready));
+        self.reservations.retain(|job, reservation| waits(job) && reservation.workers.iter().all(ready));
         self.yielding.retain(|job| tables.running.contains_key(job));
     }
 
@@ -157,7 +156,8 @@
                 self.schedule_job(pass, &mut failed, job, waiting);
             }
         }
-        // Whoever made room for a claim is served again; a claim is never taken back, so this ends.
+        // Jobs whose starts were cancelled for a claim are scheduled again. The job with the claim is not, so
+        // the loop terminates.
         loop {
             let cancelled_starts = pass.take_cancelled_starts();
             if cancelled_starts.is_empty() {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Tries every way to start a job.
+    /// Starts a job on free resources, or else by preemption, or else reserves workers for it.
     fn schedule_job(
         &mut self,
         pass: &mut Pass<'_>,
@@ -194,10 +194,10 @@
         self.reserve(pass, job, waiting);
     }
 
-    /// Finds free room: the tightest fit anywhere, or the account's own backing.
+    /// Finds free resources: the best fit on any worker, or within the account's own backing.
     ///
-    /// Work that can yield does not prefer its own backing: it would break up whole racks that others may
-    /// borrow, and it loses nothing by standing elsewhere until somebody reclaims.
+    /// Preemptible work does not prefer its own backing: that would fragment whole racks that others may
+    /// borrow, and running elsewhere costs it nothing until another account reclaims its guarantee.
     fn find_free(
         &self,
         pass: &Pass<'_>,
@@ -212,7 +212,7 @@
         {
             return Some(placement);
         }
-        // Work that cannot be preempted may not borrow, so what it may take depends on the account.
+        // Non-preemptible work may not borrow, so what it may use depends on the account.
         let account = (!demand.preemptible).then(|| demand.account.clone());
         let key = (demand.shape, reservation_mask, account, pass.is_small(waiting));
         if !failed.free.contains(&key) {
@@ -235,7 +235,7 @@
         let demand = &waiting.demand;
         let account = (!demand.preemptible).then(|| demand.account.clone());
         let waited_ms = pass.now_ms.saturating_sub(waiting.since_ms);
-        // Aged jobs come in order of age: an older one had more to choose from.
+        // Aged jobs of one shape come in order of age: an older one had at least as many possible victims.
         let already_failed = match cause {
             Cause::Guarantee => !failed.guarantee.insert((demand.shape, demand.account.clone())),
             Cause::Urgent if demand.class != Class::Urgent => true,
@@ -258,22 +258,24 @@
         Some(claim)
     }
 
-    /// Keeps workers for an aged job; once chosen they stay the same, or the job would never see them free.
+    /// Reserves workers for an aged job.
+    ///
+    /// The choice is kept from tick to tick: if it changed, the job might never see all of its workers free.
     fn reserve(&mut self, pass: &Pass<'_>, job: &JobId, waiting: &Waiting) {
         let waited_ms = pass.now_ms.saturating_sub(waiting.since_ms);
         if waited_ms < self.policy.reserve_after_ms {
             return;
         }
         let shape = &waiting.demand.shape;
-        if let Some(held) = self.reservations.get_mut(job) {
-            held.start_ms = pass.all_idle_at_ms(&held.workers);
+        if let Some(reservation) = self.reservations.get_mut(job) {
+            reservation.start_ms = pass.all_idle_at_ms(&reservation.workers);
             return;
         }
         if self.reservations.len() >= self.policy.reservations {
             return;
         }
         let reserved: BTreeSet<&WorkerId> =
-            self.reservations.values().flat_map(|held| &held.workers).collect();
+            self.reservations.values().flat_map(|reservation| &reservation.workers).collect();
         if let Some(reservation) = pass.earliest_reservation(shape, &reserved) {
             self.reservations.insert(job.clone(), reservation);
         }
