--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -1,4 +1,4 @@
-//! Best adjacent fit of a gang on given amounts.
+//! Best-fit placement of a gang, on as narrow a level of the topology as possible.
 
 use std::ops::Range;
 
@@ -8,8 +8,8 @@
 
 /// Finds workers for `shape` within `amounts`, one amount for each row of `view`.
 ///
-/// The narrowest level of the topology that holds the gang wins. At that level the group with the least
-/// room left over is taken, so that large free areas stay whole.
+/// The narrowest level of the topology that fits the gang is used. At that level the group with the fewest
+/// free resources is chosen, so that large free areas are not fragmented.
 ///
 /// # Panics
 ///
@@ -34,19 +34,20 @@
     None
 }
 
-/// Returns whether an empty fleet of the view's workers could hold `shape`.
+/// Returns whether `shape` would fit if none of the view's workers ran anything.
 pub fn fits_empty(view: &View, shape: &Shape) -> bool {
     let totals: Vec<Amount> = view.worker_rows.iter().map(|row| row.total).collect();
     find(view, shape, &totals).is_some()
 }
 
-/// What a group would leave over: accelerators, planned accelerators, accelerators around it, slots.
+/// Rank of a group: free accelerators, accelerators planned for guarantees, free accelerators of the
+/// enclosing group, free slots. The lowest is the best.
 type Score = (u32, u32, u32, u32);
 
-/// Returns the group with the least room left over.
+/// Returns the group with the fewest free accelerators that fits the shape.
 ///
-/// Among equals it takes the one with the least planned for guarantees, where nobody can break the gang up, and
-/// then the one in the fullest part of the level above.
+/// Ties go to the group with the fewest accelerators planned for guarantees, where a gang of several tasks is
+/// least likely to be preempted, and then to the one whose enclosing group has the fewest free accelerators.
 fn best_fit_group(
     view: &View,
     shape: &Shape,
@@ -79,7 +80,7 @@
     best.map(|(_, group)| group)
 }
 
-/// Returns for each row the free accelerators of its group at a level.
+/// Returns for each row the free accelerators of its group at the level `span`.
 fn free_at_level(view: &View, span: Span) -> Vec<u32> {
     let mut enclosing_free = vec![0; view.worker_rows.len()];
     for group in view.groups(span).iter().cloned() {
@@ -89,7 +90,9 @@
     enclosing_free
 }
 
-/// Spreads the tasks over the rows of a group: the fullest use of few rows first, then the tightest last row.
+/// Assigns the tasks to the rows of a group, on as few rows as possible.
+///
+/// Rows with the largest task capacity are filled first; the last one is the smallest that fits the rest.
 fn assign_tasks(
     view: &View,
     shape: &Shape,
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -1,4 +1,4 @@
-//! The guarantee plan: guaranteed shapes bound to concrete workers.
+//! The guarantee plan, which binds guaranteed shapes to workers.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,6 @@
 /// One guaranteed shape and the workers that back it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Binding {
-    /// Guaranteed shape.
     pub shape: Shape,
     /// Tasks of the shape on each worker.
     pub placement: Placement,
@@ -27,12 +26,12 @@
 pub struct Plan {
     /// Bound shapes of each account.
     pub bindings: BTreeMap<AccountId, Vec<Binding>>,
-    /// Shapes that no free capacity could back.
+    /// Guaranteed shapes for which there was too little free capacity.
     pub shortfall: BTreeMap<AccountId, Vec<Shape>>,
 }
 
 impl Plan {
-    /// Returns the amounts that back each account on `worker`.
+    /// Returns the resources that back each account on `worker`.
     pub fn backing_on(&self, worker: &WorkerId) -> BTreeMap<AccountId, Amount> {
         let mut backing: BTreeMap<AccountId, Amount> = BTreeMap::new();
         for (account, bindings) in &self.bindings {
@@ -45,7 +44,7 @@
         backing
     }
 
-    /// Returns the amounts that back each account on each worker.
+    /// Returns the resources that back each account on each worker.
     pub fn backing(&self) -> BTreeMap<WorkerId, BTreeMap<AccountId, Amount>> {
         let mut by_worker: BTreeMap<WorkerId, BTreeMap<AccountId, Amount>> = BTreeMap::new();
         for (account, bindings) in &self.bindings {
@@ -60,10 +59,10 @@
     }
 }
 
-/// Binds every guarantee to workers, keeping each binding of `previous` that still stands.
+/// Binds every guarantee to workers, keeping each binding of `previous` that is still valid.
 ///
-/// The result depends only on the arguments, so every proposer with the same view proposes the same plan.
-/// Larger shapes are bound first, because they have the fewest places to go.
+/// The result depends only on the arguments, so every caller with the same data proposes the same plan.
+/// Larger shapes are bound first, because they fit in the fewest places.
 pub fn propose(
     accounts: &BTreeMap<AccountId, Account>,
     workers: &BTreeMap<WorkerId, Worker>,
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -1,4 +1,4 @@
-//! Which work stands on whose backing, and what yields when a guarantee is reclaimed.
+//! Use of the backing of guarantees, and the choice of victims when a guarantee is reclaimed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,42 +7,39 @@
 use crate::shape::Amount;
 use crate::table::Class;
 
-/// One gang's share of a worker.
+/// Resources that one gang holds on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// Job that holds the share.
     pub job: JobId,
-    /// Account of the job.
     pub account: AccountId,
-    /// Resources held.
     pub held: Amount,
-    /// Urgency of the job.
     pub class: Class,
-    /// When the attempt started.
+    /// Start of the current attempt.
     pub started_ms: Millis,
     /// Whether the job may be checkpointed or stopped and run again.
     pub preemptible: bool,
 }
 
-/// The shares of one worker split by whose backing they stand on.
+/// Which accounts' backing the shares of one worker use.
 #[derive(Clone, Debug, Default)]
 pub struct BackingUse {
     /// Backing of each account on the worker.
     pub backing: BTreeMap<AccountId, Amount>,
-    /// Amount of its own backing that each account uses.
+    /// Part of its own backing that each account uses.
     pub own_used: BTreeMap<AccountId, Amount>,
-    /// Jobs that stand on their own account's backing.
+    /// Jobs that are covered by their own account's backing, and all non-preemptible jobs.
     pub on_own_backing: BTreeSet<JobId>,
-    /// Amount beyond the own account's backing that work which cannot be preempted holds.
+    /// Resources that non-preemptible work holds beyond the backing of its own account.
     pub pinned: Amount,
     non_preemptible_held: BTreeMap<AccountId, Amount>,
 }
 
 impl BackingUse {
-    /// Splits `shares` by backing, the oldest first.
+    /// Charges `shares` to the backing of their accounts.
     ///
-    /// Work that cannot be preempted takes the account's own backing first, and in part if need be: nothing
-    /// else may hold it. Work that can yield stands on its own backing as a whole or not at all.
+    /// Non-preemptible work uses its account's backing first, and in part if it holds more, since nothing
+    /// else may use that backing meanwhile. Preemptible work follows, oldest first, and is covered by its
+    /// account's backing in full or not at all.
     pub fn new(backing: BTreeMap<AccountId, Amount>, shares: &[Share]) -> Self {
         let mut backing_use = Self { backing, ..Self::default() };
         for share in shares.iter().filter(|share| !share.preemptible) {
@@ -65,13 +62,13 @@
         backing_use
     }
 
-    /// Returns the backing of `account` that it does not use itself.
+    /// Returns the part of its backing that `account` does not use itself.
     pub fn unused_backing(&self, account: &AccountId) -> Amount {
         let backing = self.backing.get(account).copied().unwrap_or_default();
         backing.saturating_sub(self.own_used.get(account).copied().unwrap_or_default())
     }
 
-    /// Returns the capacity that backs nobody and that no pinned work holds.
+    /// Returns the capacity that neither backs a guarantee nor is pinned.
     pub fn spare(&self, capacity: Amount) -> Amount {
         let mut planned = self.pinned;
         for amount in self.backing.values() {
@@ -80,7 +77,7 @@
         capacity.saturating_sub(planned)
     }
 
-    /// Returns what `account` may take so that every guarantee stays reclaimable.
+    /// Returns the part of `free` that `account` may use while every guarantee stays reclaimable.
     pub fn allocatable(
         &self,
         account: &AccountId,
@@ -99,21 +96,25 @@
     }
 }
 
-/// Chooses the shares that yield until `need` is free, hurting the least work first.
+/// Chooses preemptible, borrowing shares to preempt until `required` is free.
 ///
-/// The lowest class yields first, then the youngest. Returns `None` when not even all of them suffice.
+/// The lowest class is preempted first, and within a class the most recent start, which has the least work to
+/// lose. Returns `None` if preempting all of them would not free enough.
 pub fn select_victims(
     shares: &[Share],
     backing_use: &BackingUse,
     free: Amount,
     required: Amount,
 ) -> Option<Vec<JobId>> {
-    let mut by_age: Vec<&Share> =
-        shares.iter().filter(|s| s.preemptible && !backing_use.on_own_backing.contains(&s.job)).collect();
-    by_age.sort_by_key(|s| (s.class, std::cmp::Reverse(s.started_ms), s.job.clone()));
+    let mut preemption_order: Vec<&Share> = shares
+        .iter()
+        .filter(|share| share.preemptible && !backing_use.on_own_backing.contains(&share.job))
+        .collect();
+    preemption_order
+        .sort_by_key(|share| (share.class, std::cmp::Reverse(share.started_ms), share.job.clone()));
     let mut freed = free;
     let mut chosen = Vec::new();
-    for share in by_age {
+    for share in preemption_order {
         if freed.covers(required) {
             break;
         }
@@ -130,18 +131,18 @@
     (shortfall.accelerators > 0 && held.accelerators > 0) || (shortfall.slots > 0 && held.slots > 0)
 }
 
-/// A guarantee that could not be reclaimed on a worker.
+/// Backing that cannot be reclaimed on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Worker whose backing is held by work that cannot yield.
+    /// Worker whose backing non-preemptible work holds.
     pub worker: WorkerId,
-    /// Backing in all.
+    /// Sum of the backing of all accounts.
     pub planned: Amount,
-    /// Amount that work outside its own backing pins.
+    /// Resources that non-preemptible work holds beyond its own backing.
     pub pinned: Amount,
 }
 
-/// Returns the breach on `worker`, if its pinned work stands on somebody's backing.
+/// Returns the breach on `worker`, if its backing and pinned resources together exceed its capacity.
 pub fn find_breach(worker: &WorkerId, capacity: Amount, backing_use: &BackingUse) -> Option<Breach> {
     let mut planned = Amount::default();
     for amount in backing_use.backing.values() {
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,4 +1,4 @@
-//! A flat view of the workers' free resources, ordered by place.
+//! A flat view of the workers' free resources, ordered by location.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -13,18 +13,17 @@
 pub struct WorkerRow {
     /// Name of the worker.
     pub worker: WorkerId,
-    /// Resources in all; zero while the worker takes nothing new.
+    /// Total usable resources; zero for a worker that the view excludes.
     pub total: Amount,
-    /// Resources that nothing holds.
+    /// Resources that no gang holds.
     pub free: Amount,
-    /// Accelerators that back guarantees.
+    /// Accelerators planned for guarantees.
     pub planned: u32,
 }
 
-/// Workers ordered by region, domain, rack and name, with the ranges of each level.
+/// Workers ordered by region, domain, rack and name, with the row ranges of each level.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Rows in order of place.
     pub worker_rows: Vec<WorkerRow>,
     index: BTreeMap<WorkerId, usize>,
     rows: Vec<Range<usize>>,
@@ -34,12 +33,12 @@
 }
 
 impl View {
-    /// Creates a view of the whole capacity of the workers that back guarantees.
+    /// Creates a view with the full capacity of the workers that may back guarantees.
     pub fn with_full_capacity(workers: &BTreeMap<WorkerId, Worker>) -> Self {
         Self::build(workers, Worker::backs_guarantees)
     }
 
-    /// Creates a view of the free capacity of the ready workers.
+    /// Creates a view with the free capacity of the ready workers.
     pub fn with_free_capacity(tables: &Tables) -> Self {
         let mut view = Self::build(&tables.workers, |w| w.standing == Standing::Ready);
         for running in tables.running.values() {
@@ -75,12 +74,12 @@
         self.index.get(worker).copied()
     }
 
-    /// Returns the free amounts of all rows.
+    /// Returns the free resources of each row.
     pub fn free(&self) -> Vec<Amount> {
         self.worker_rows.iter().map(|worker_row| worker_row.free).collect()
     }
 
-    /// Returns the groups of rows at a level of the topology.
+    /// Returns the row range of each group at a level of the topology.
     pub fn groups(&self, span: Span) -> &[Range<usize>] {
         match span {
             Span::Worker => &self.rows,
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Returns whether the free amounts hold `shape` at `placement`.
+    /// Returns whether `shape` fits the free resources at `placement`.
     pub fn fits(&self, shape: &Shape, placement: &Placement) -> bool {
         placement.iter().all(|(worker, &tasks)| {
             self.row(worker)
@@ -98,7 +97,7 @@
         })
     }
 
-    /// Takes `shape` at `placement` from the free amounts.
+    /// Subtracts `shape` at `placement` from the free resources.
     pub fn allocate(&mut self, shape: &Shape, placement: &Placement) {
         for (worker, &tasks) in placement {
             if let Some(row) = self.row(worker) {
@@ -107,7 +106,7 @@
         }
     }
 
-    /// Gives `shape` at `placement` back to the free amounts.
+    /// Returns `shape` at `placement` to the free resources.
     pub fn release(&mut self, shape: &Shape, placement: &Placement) {
         for (worker, &tasks) in placement {
             if let Some(row) = self.row(worker) {
