--- a/crates/core/src/eject.rs
+++ b/crates/core/src/eject.rs
@@ -1,20 +1,21 @@
-//! Ejection of workers that fail what they start, with a cap and a slow return.
+//! Temporary ejection of workers that fail repeatedly.
+//!
+//! The share of ejected workers is limited, and each further ejection of a worker lasts longer.
 
 use std::collections::BTreeMap;
 
 use crate::id::WorkerId;
 use crate::policy::{MINUTE_MS, Millis, SECOND_MS};
 
-/// Failures in a row that eject a worker.
-pub const EJECTION_FAILURES: u32 = 5;
+/// Consecutive failures after which a worker is ejected.
+pub const FAILURES_TO_EJECT: u32 = 5;
 
-/// Share of the workers that may be ejected at the same time, as one in so many.
+/// At most one worker in this many may be ejected at the same time.
 pub const MIN_WORKERS_PER_EJECTION: usize = 4;
 
-/// First time out, in milliseconds; it doubles with each ejection.
+/// Duration of the first ejection; it doubles with each further one.
 pub const MIN_EJECTION_MS: Millis = 10 * SECOND_MS;
 
-/// Longest time out, in milliseconds.
 pub const MAX_EJECTION_MS: Millis = 10 * MINUTE_MS;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -24,19 +25,18 @@
     ejected_until_ms: Millis,
 }
 
-/// Outcomes of each worker, in a row.
+/// Consecutive failures and ejections of each worker.
 #[derive(Clone, Debug, Default)]
 pub struct Outcomes {
     records: BTreeMap<WorkerId, Record>,
 }
 
 impl Outcomes {
-    /// Creates an empty record of outcomes.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Records a success, which ends a row of failures.
+    /// Records a success, which resets the consecutive failures and takes back one doubling.
     pub fn record_success(&mut self, worker: &WorkerId) {
         if let Some(record) = self.records.get_mut(worker) {
             record.failures = 0;
@@ -44,24 +44,25 @@
         }
     }
 
-    /// Records a failure and ejects the worker at the end of a row, unless too many are out already.
+    /// Records a failure and returns whether it ejects the worker; `workers` is the size of the fleet.
+    ///
+    /// A worker is not ejected if too many are ejected already.
     pub fn record_failure(&mut self, worker: &WorkerId, workers: usize, now_ms: Millis) -> bool {
         let ejected = self.records.values().filter(|r| r.ejected_until_ms > now_ms).count();
         let record = self.records.entry(worker.clone()).or_default();
         record.failures += 1;
         let may_eject = (ejected + 1) * MIN_WORKERS_PER_EJECTION <= workers.max(MIN_WORKERS_PER_EJECTION);
-        if record.failures < EJECTION_FAILURES || record.ejected_until_ms > now_ms || !may_eject {
+        if record.failures < FAILURES_TO_EJECT || record.ejected_until_ms > now_ms || !may_eject {
             return false;
         }
         let ejection_ms = (MIN_EJECTION_MS << record.ejections.min(6)).min(MAX_EJECTION_MS);
         record.ejected_until_ms = now_ms + ejection_ms;
         record.ejections += 1;
-        // One more failure after the return ejects again; one success clears the row.
-        record.failures = EJECTION_FAILURES - 1;
+        // After the ejection ends, one more failure ejects the worker again; a success resets the count.
+        record.failures = FAILURES_TO_EJECT - 1;
         true
     }
 
-    /// Returns whether the worker is out.
     pub fn is_ejected(&self, worker: &WorkerId, now_ms: Millis) -> bool {
         self.records.get(worker).is_some_and(|r| r.ejected_until_ms > now_ms)
     }
--- a/crates/core/src/estimate.rs
+++ b/crates/core/src/estimate.rs
@@ -1,8 +1,8 @@
-//! Run-time estimates corrected from each account's history.
+//! Run-time estimates, corrected by each account's history.
 
 use crate::policy::Millis;
 
-/// Declared and actual run times of an account's finished jobs.
+/// Moving averages of the declared and actual run times of an account's finished jobs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Estimator {
     log_ratio: f64,
@@ -10,19 +10,18 @@
     samples: u32,
 }
 
-/// Weight of the newest sample once the history is filled.
+/// Weight of the newest sample in the moving averages; the first samples weigh more.
 const MIN_SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Samples before the history is trusted over the declaration.
+/// Number of samples at which the history and the declaration weigh the same.
 const HALF_TRUST_SAMPLES: f64 = 8.0;
 
 impl Estimator {
-    /// Creates an estimator without history.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Records a finished job.
+    /// Adds a finished job to the history.
     pub fn record(&mut self, declared_ms: Millis, actual_ms: Millis) {
         self.samples = self.samples.saturating_add(1);
         let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
@@ -34,8 +33,8 @@
 
     /// Returns the estimated run time of a job declared at `declared_ms`.
     ///
-    /// The declaration is scaled by the account's mean ratio and drawn half way to its mean run time,
-    /// because a single declaration may be off by a factor of ten in either direction.
+    /// The declaration is scaled by the account's mean ratio and blended with its mean run time, because a
+    /// single declaration may be off by a factor of ten in either direction.
     pub fn estimate_ms(&self, declared_ms: Millis) -> Millis {
         let declared = (declared_ms.max(1) as f64).ln();
         let trust = f64::from(self.samples) / (f64::from(self.samples) + HALF_TRUST_SAMPLES);
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -3,41 +3,39 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of virtual or real time since an arbitrary origin.
+/// A duration in milliseconds, or a real or simulated time in milliseconds since an arbitrary origin.
 pub type Millis = u64;
 
-/// One second in milliseconds.
 pub const SECOND_MS: Millis = 1_000;
 
-/// One minute in milliseconds.
 pub const MINUTE_MS: Millis = 60 * SECOND_MS;
 
-/// One hour in milliseconds.
 pub const HOUR_MS: Millis = 60 * MINUTE_MS;
 
-/// Weights and bounds that a site sets.
+/// Weights and bounds of the scheduling policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Policy {
     /// Weight of short completion times, from 0 to 1.
     pub completion_weight: f64,
-    /// Weight of large shapes that stay whole, from 0 to 1.
+    /// Weight of low fragmentation, which favours wide gangs, from 0 to 1.
     pub fragmentation_weight: f64,
     /// Wait after which a job gets a reservation, in milliseconds.
     pub reserve_after_ms: Millis,
-    /// Wait after which a reserved job may have younger borrowed work checkpointed, in milliseconds.
+    /// Wait after which a job may preempt narrower or younger work that is not on its own backing, in
+    /// milliseconds.
     pub preempt_after_ms: Millis,
-    /// Grace for a checkpoint before a stop, in milliseconds.
+    /// Grace period for a checkpoint before a stop, in milliseconds.
     pub checkpoint_grace_ms: Millis,
-    /// Reservations held at the same time.
+    /// Maximum number of concurrent reservations.
     pub reservations: usize,
-    /// Whether wider gangs go before narrower ones once both are past a bound on their wait.
+    /// Whether wider gangs precede narrower ones among jobs that waited past a bound.
     pub wide_first: bool,
-    /// Whether heavy load separates job sizes into areas of the fleet.
+    /// Whether small and large jobs use separate parts of the fleet under heavy load.
     pub size_areas: bool,
 }
 
 impl Policy {
-    /// Creates the policy that puts completion time first.
+    /// Creates the policy that favours short completion times.
     pub fn new() -> Self {
         Self {
             completion_weight: 1.0,
@@ -51,7 +49,7 @@
         }
     }
 
-    /// Returns the policy that puts whole large shapes first.
+    /// Returns the policy changed to favour low fragmentation.
     pub fn with_fragmentation_first(mut self) -> Self {
         self.completion_weight = 0.4;
         self.fragmentation_weight = 1.0;
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -1,4 +1,4 @@
-//! Admission to the queue and the order in which waiting jobs are considered.
+//! Admission to the queue and the order in which waiting jobs are scheduled.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +13,9 @@
 use crate::table::{Class, Demand, Tables, Waiting};
 use crate::view::View;
 
-/// Result of an admission.
+/// Result of an admission check.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// Tasks of one gang at most.
 pub const MAX_GANG_TASKS: u32 = 64;
 
 /// Why a job was not admitted.
@@ -40,7 +39,7 @@
     QueueFull {
         /// Account of the demand.
         account: AccountId,
-        /// Jobs that may wait.
+        /// Maximum number of waiting jobs.
         limit: u32,
     },
     /// The shape is malformed.
@@ -48,24 +47,24 @@
     BadShape {
         /// Shape of the demand.
         shape: Shape,
-        /// Tasks of a gang at most.
+        /// Maximum number of tasks of a gang.
         limit: u32,
     },
-    /// The shape fits no part of the fleet, even when it is empty.
+    /// The shape does not fit even an idle fleet.
     #[display(
         "shape {shape} fits nowhere: the fleet has {accelerators} accelerators, {widest} on one worker"
     )]
     NeverFits {
         /// Shape of the demand.
         shape: Shape,
-        /// Accelerators of the fleet.
+        /// Total accelerators of the fleet.
         accelerators: u32,
         /// Accelerators of the largest worker.
         widest: u32,
     },
 }
 
-/// Checks whether a demand may wait.
+/// Checks whether a demand may be queued.
 ///
 /// # Errors
 ///
@@ -85,7 +84,7 @@
     check_shape(tables, &demand.shape)
 }
 
-/// Checks whether the fleet could ever hold `shape`.
+/// Checks whether `shape` would fit an idle fleet.
 ///
 /// # Errors
 ///
@@ -103,7 +102,7 @@
     Err(Refusal::NeverFits { shape: *shape, accelerators, widest })
 }
 
-/// Rank of a waiting job; the smallest is considered first.
+/// Rank of a waiting job; the smallest is scheduled first.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
 struct Rank {
     tier: u8,
@@ -111,10 +110,11 @@
     since_ms: Millis,
 }
 
-/// Returns the waiting jobs in the order in which they are considered.
+/// Returns the waiting jobs in scheduling order.
 ///
-/// Urgent jobs come first, then jobs past the reservation bound by age, then the rest by how long they have
-/// waited for their estimated size, scaled by how far their account is beyond its share.
+/// Urgent jobs come first, then jobs that waited for `Policy::reserve_after_ms`, by width if
+/// `Policy::wide_first` is set and then by age. The rest follow by estimated remaining run time and width,
+/// scaled by how far their account is beyond its guarantee.
 pub fn scheduling_order<'a>(
     tables: &'a Tables,
     policy: &Policy,
@@ -165,7 +165,7 @@
         let over_guarantee = used.saturating_sub(account.guaranteed()).accelerators;
         1.0 + f64::from(over_guarantee) / f64::from(account.weight.max(1)) / 16.0
     });
-    // Short work first serves completion time; wide work first keeps large shapes from scattering.
+    // Short jobs first lowers completion times; wide jobs first avoids fragmentation of large shapes.
     let time_term = time_ms.ln() * policy.completion_weight;
     let width_term = width.ln() * (policy.completion_weight - policy.fragmentation_weight);
     time_term + width_term + usage_penalty.ln()
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,4 +1,4 @@
-//! Routing of short requests to agents, with limits, retries and admission by deadline.
+//! Routing of short requests to agents, with a retry budget and admission by deadline.
 
 use rand::{Rng, RngExt};
 use schemars::JsonSchema;
@@ -6,12 +6,12 @@
 
 use crate::policy::Millis;
 
-/// What an entry knows about one agent when it routes a request.
+/// An agent to which an entry may route a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// Requests that this entry has in flight at the agent.
     pub in_flight: u32,
-    /// Requests that the agent reported in flight for all entries.
+    /// Requests in flight from all entries, as the agent last reported.
     pub reported_in_flight: u32,
     /// Slots of the upstream.
     pub slots: u32,
@@ -21,11 +21,11 @@
     pub same_domain: bool,
 }
 
-/// One way between failure domains, in milliseconds.
+/// One-way network latency between failure domains.
 pub const CROSS_DOMAIN_ONE_WAY_MS: f64 = 1.5;
 
 impl Candidate {
-    /// Returns the expected time until an answer, in milliseconds.
+    /// Returns the expected time until the response, in milliseconds.
     pub fn expected_delay_ms(&self) -> f64 {
         let queued = f64::from(self.in_flight.max(self.reported_in_flight));
         let slots = f64::from(self.slots.max(1));
@@ -35,7 +35,7 @@
     }
 }
 
-/// Picks the better of two sampled candidates by expected delay.
+/// Samples two candidates and picks the one with the lower expected delay.
 pub fn pick_of_two(candidates: &[Candidate], rng: &mut impl Rng) -> Option<usize> {
     match candidates.len() {
         0 => None,
@@ -49,30 +49,29 @@
     }
 }
 
-/// Tokens that one successful first attempt adds to the retry budget.
+/// Tokens that each first attempt adds to the retry budget.
 const RETRY_TOKENS_PER_ATTEMPT: f64 = 0.1;
 
-/// Tokens that the retry budget holds at most.
 const MAX_RETRY_TOKENS: f64 = 20.0;
 
-/// A budget that keeps retries to a tenth of first attempts, whatever fails.
+/// A token bucket that limits retries to a tenth of first attempts, even if all attempts fail.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// Creates a full budget.
+    /// Creates a budget with all of its tokens.
     pub fn new() -> Self {
         Self { tokens: MAX_RETRY_TOKENS }
     }
 
-    /// Records a first attempt.
+    /// Adds tokens for a first attempt.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + RETRY_TOKENS_PER_ATTEMPT).min(MAX_RETRY_TOKENS);
     }
 
-    /// Takes a token for a retry; returns whether there was one.
+    /// Takes a token for a retry; returns `false` if there is none.
     pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -98,13 +97,13 @@
     Deadline,
     /// The account has too many requests in flight.
     AccountLimit,
-    /// All upstreams are full.
+    /// The upstream is at its limit of concurrent requests.
     Busy,
     /// The process is stopping.
     Draining,
     /// The account is paused.
     Paused,
-    /// The key's home is gone and the request was never handed over.
+    /// The agent to which the idempotency key is bound is no longer available and never got the request.
     HomeGone,
 }
 
@@ -112,7 +111,7 @@
 ///
 /// # Errors
 ///
-/// Returns after how many milliseconds the caller should come back.
+/// Returns the number of milliseconds after which the caller should retry.
 pub fn admit(best_delay_ms: f64, remaining_ms: Millis) -> std::result::Result<(), Millis> {
     if best_delay_ms <= remaining_ms as f64 {
         return Ok(());
