--- a/crates/core/src/account.rs
+++ b/crates/core/src/account.rs
@@ -5,25 +5,25 @@
 
 use crate::shape::{Amount, Shape};
 
-/// Jobs of one account that may wait at a time, unless the configuration says otherwise.
+/// Default limit on the waiting jobs of an account.
 pub const DEFAULT_QUEUE_LIMIT_JOBS: u32 = 2_000;
 
-/// Requests of one account that may be in flight at one entry, unless the configuration says otherwise.
+/// Default limit on the requests of an account in flight at one entry.
 pub const DEFAULT_REQUEST_LIMIT: u32 = 256;
 
-/// A client account as the operators configured it.
+/// Configuration of a client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Account {
-    /// Shapes that the account can always get back.
+    /// Shapes that the account can reclaim at any time.
     #[serde(default)]
     pub guarantee: Vec<Shape>,
     /// Relative share of capacity beyond the guarantees.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Jobs that may wait at a time.
+    /// Maximum number of waiting jobs.
     #[serde(default = "default_queue_limit")]
     pub queue_limit: u32,
-    /// Requests that may be in flight at one entry.
+    /// Maximum number of requests in flight at one entry.
     #[serde(default = "default_request_limit")]
     pub request_limit: u32,
     /// Whether new work of the account is refused.
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,4 +1,4 @@
-//! Typed names of the entities that the tables hold.
+//! Typed names of accounts, jobs and workers.
 
 use std::sync::Arc;
 
@@ -16,12 +16,10 @@
         pub struct $name(pub Arc<str>);
 
         impl $name {
-            /// Creates the name from a borrowed string.
             pub fn new(name: &str) -> Self {
                 Self(Arc::from(name))
             }
 
-            /// Returns the name as a borrowed string.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,4 +1,4 @@
-//! Pure scheduling decisions: tables of entities and systems that run over them each tick.
+//! Scheduling decisions without I/O: tables of entities and the functions that run over them at each tick.
 
 pub mod account;
 pub mod eject;
--- a/crates/core/src/naive.rs
+++ b/crates/core/src/naive.rs
@@ -1,11 +1,11 @@
-//! The naive scheduler: first come first served, first fit, no plan, no reservation.
+//! A baseline scheduler for comparison: first come, first served and first fit, without plan or reservations.
 
 use crate::id::{JobId, WorkerId};
 use crate::shape::{Amount, Shape, Span};
 use crate::table::{Placement, Tables, Waiting};
 use crate::topology::{Place, Standing};
 
-/// Returns the jobs to start, in order of arrival, until the first that does not fit.
+/// Returns the jobs to start, in order of arrival, up to the first that does not fit.
 pub fn tick(tables: &Tables) -> Vec<(JobId, Placement)> {
     let mut free = free_amounts(tables);
     let mut jobs: Vec<(&JobId, &Waiting)> = tables.waiting.iter().collect();
@@ -22,10 +22,10 @@
     started
 }
 
-/// Worker, its place and its free amount.
+/// A worker, its location and its free resources.
 pub type Row = (WorkerId, Place, Amount);
 
-/// Returns the free amount of each ready worker.
+/// Returns the free resources of each ready worker.
 pub fn free_amounts(tables: &Tables) -> Vec<Row> {
     let mut rows = Vec::new();
     for (id, worker) in &tables.workers {
@@ -41,7 +41,7 @@
     rows
 }
 
-/// Returns the first set of workers within the span of `shape` that holds the gang.
+/// Returns the first set of workers within the span of `shape` that fits the gang.
 pub fn first_fit(free: &[Row], shape: &Shape) -> Option<Placement> {
     for first in free {
         let mut remaining = shape.tasks;
--- a/crates/core/src/shape.rs
+++ b/crates/core/src/shape.rs
@@ -18,17 +18,16 @@
 }
 
 impl Amount {
-    /// Creates an amount of `slots` slots and `accelerators` accelerators.
     pub const fn new(slots: u32, accelerators: u32) -> Self {
         Self { slots, accelerators }
     }
 
-    /// Returns whether this amount holds at least `other` in each resource.
+    /// Returns whether this amount is at least `other` in each resource.
     pub fn covers(self, other: Self) -> bool {
         self.slots >= other.slots && self.accelerators >= other.accelerators
     }
 
-    /// Returns the amount left after `other` is taken, at least zero in each resource.
+    /// Subtracts `other`, with a minimum of zero in each resource.
     pub fn saturating_sub(self, other: Self) -> Self {
         Self {
             slots: self.slots.saturating_sub(other.slots),
@@ -36,24 +35,22 @@
         }
     }
 
-    /// Returns the smaller of each resource.
+    /// Returns the minimum of the two amounts in each resource.
     pub fn min(self, other: Self) -> Self {
         Self { slots: self.slots.min(other.slots), accelerators: self.accelerators.min(other.accelerators) }
     }
 
-    /// Returns how many tasks of `each` fit into this amount.
+    /// Returns how many tasks that need `per_task` fit into this amount.
     pub fn tasks(self, per_task: Self) -> u32 {
         let by_slots = self.slots.checked_div(per_task.slots).unwrap_or(u32::MAX);
         let by_accelerators = self.accelerators.checked_div(per_task.accelerators).unwrap_or(u32::MAX);
         by_slots.min(by_accelerators)
     }
 
-    /// Returns `count` times this amount.
     pub fn times(self, count: u32) -> Self {
         Self { slots: self.slots * count, accelerators: self.accelerators * count }
     }
 
-    /// Returns whether nothing is left.
     pub fn is_zero(self) -> bool {
         self == Self::default()
     }
@@ -105,7 +102,7 @@
     Region,
 }
 
-/// The resources that a gang needs at the same time.
+/// The resources that a gang needs at the same time, and how far it may be spread.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
@@ -121,17 +118,16 @@
 }
 
 impl Shape {
-    /// Creates a shape of `tasks` tasks with `accelerators` accelerators each within `span`.
     pub const fn new(tasks: u32, accelerators: u32, span: Span) -> Self {
         Self { tasks, accelerators, span }
     }
 
-    /// Returns what one task takes.
+    /// Returns the resources of one task.
     pub const fn per_task(&self) -> Amount {
         Amount::new(1, self.accelerators)
     }
 
-    /// Returns what the whole gang takes.
+    /// Returns the resources of the whole gang.
     pub fn total(&self) -> Amount {
         self.per_task().times(self.tasks)
     }
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -1,4 +1,4 @@
-//! The tables that the systems run over.
+//! The tables of entities on which the scheduler decides.
 
 use std::collections::BTreeMap;
 
@@ -14,10 +14,10 @@
 use crate::shape::{Amount, Shape};
 use crate::topology::Worker;
 
-/// Tasks of a gang on each of its workers.
+/// Number of tasks of a gang on each of its workers.
 pub type Placement = BTreeMap<WorkerId, u32>;
 
-/// The urgency of a job; a lower class yields first.
+/// The urgency of a job; lower classes are preempted first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
@@ -28,18 +28,17 @@
     /// Ordinary work.
     #[default]
     Normal,
-    /// Work that starts within the urgent bound or is refused.
+    /// Work that must start within the urgent bound or is refused.
     Urgent,
 }
 
-/// What a client account asks for.
+/// The resources that a client account requests for a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Demand {
     /// Account on whose behalf the job runs.
     pub account: AccountId,
     /// Resources that the gang needs at the same time.
     pub shape: Shape,
-    /// Urgency.
     #[serde(default)]
     pub class: Class,
     /// Declared run time in milliseconds; only a hint.
@@ -56,22 +55,20 @@
 /// A job that waits for its gang.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waiting {
-    /// What was asked for.
     pub demand: Demand,
-    /// When the job began to wait; kept over a preemption.
+    /// When the job was queued; unchanged by a preemption.
     pub since_ms: Millis,
     /// Run time that earlier attempts completed, in milliseconds.
     pub done_ms: Millis,
 }
 
-/// A gang that holds its workers.
+/// A gang that is placed and holds resources on its workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Running {
-    /// What was asked for.
     pub demand: Demand,
     /// Tasks on each worker.
     pub placement: Placement,
-    /// When the job began to wait.
+    /// When the job was queued.
     pub since_ms: Millis,
     /// When this attempt started.
     pub started_ms: Millis,
@@ -80,13 +77,13 @@
 }
 
 impl Running {
-    /// Returns what the gang holds on `worker`.
+    /// Returns the resources that the gang holds on `worker`.
     pub fn held(&self, worker: &WorkerId) -> Amount {
         let tasks = self.placement.get(worker).copied().unwrap_or_default();
         self.demand.shape.per_task().times(tasks)
     }
 
-    /// Returns the gang's share of `worker`; `job` is its name.
+    /// Returns the gang's share of `worker`; `job` is the name of the gang's job.
     pub fn share_on(&self, job: &JobId, worker: &WorkerId) -> Share {
         Share {
             job: job.clone(),
@@ -99,7 +96,7 @@
     }
 }
 
-/// All entities of the decision core.
+/// All entities on which the scheduler decides.
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
     /// Workers by name.
@@ -117,17 +114,16 @@
 }
 
 impl Tables {
-    /// Creates tables without entities.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the estimated run time that is left of a waiting job, in milliseconds.
+    /// Returns the estimated remaining run time of a waiting job, at least one millisecond.
     pub fn remaining_ms(&self, waiting: &Waiting) -> Millis {
         self.estimate_ms(&waiting.demand).saturating_sub(waiting.done_ms).max(1)
     }
 
-    /// Returns the estimated whole run time of a demand, in milliseconds.
+    /// Returns the estimated total run time of a demand.
     pub fn estimate_ms(&self, demand: &Demand) -> Millis {
         match self.history.get(&demand.account) {
             Some(estimator) => estimator.estimate_ms(demand.declared_ms),
--- a/crates/core/src/topology.rs
+++ b/crates/core/src/topology.rs
@@ -1,4 +1,4 @@
-//! Workers and their place in racks, failure domains and regions.
+//! Workers and their location in racks, failure domains and regions.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::shape::Amount;
 
-/// The place of a worker in the topology.
+/// The location of a worker in the topology.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 pub struct Place {
     /// Region that holds the failure domain.
@@ -19,35 +19,34 @@
 }
 
 impl Place {
-    /// Creates a place from its names.
     pub fn new(region: &str, domain: &str, rack: &str) -> Self {
         Self { region: region.into(), domain: domain.into(), rack: rack.into() }
     }
 }
 
-/// Whether a worker may take new work.
+/// Whether a worker accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Standing {
-    /// The worker takes work.
+    /// The worker accepts work.
     #[default]
     Ready,
-    /// The worker finishes what it has and takes nothing new.
+    /// The worker finishes its current work and accepts no more.
     Draining,
-    /// The worker failed what it started and takes nothing until its return.
+    /// The worker failed several starts in a row and accepts no work for a limited time.
     Ejected,
-    /// The worker has not been heard from in time.
+    /// The worker has not reported in time.
     Lost,
 }
 
-/// A worker as the decision core sees it.
+/// A worker as the scheduler sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Worker {
-    /// Place in the topology.
+    /// Location in the topology.
     pub place: Place,
-    /// Slots and accelerators in all.
+    /// Total slots and accelerators.
     pub capacity: Amount,
-    /// Whether the worker takes new work.
+    /// Whether the worker accepts new work.
     pub standing: Standing,
 }
 
@@ -57,7 +56,7 @@
         Self { place, capacity, standing: Standing::Ready }
     }
 
-    /// Returns whether the worker still carries guarantees.
+    /// Returns whether the worker's capacity may back guarantees.
     pub fn backs_guarantees(&self) -> bool {
         matches!(self.standing, Standing::Ready | Standing::Ejected)
     }
--- a/crates/core/tests/differential.rs
+++ b/crates/core/tests/differential.rs
@@ -1,4 +1,4 @@
-//! The decision core against the naive scheduler, on generated fleets and demands with a fixed seed.
+//! Compares the scheduler with the baseline scheduler, on generated fleets and demands with a fixed seed.
 
 use std::collections::BTreeMap;
 
@@ -78,10 +78,13 @@
     )
 }
 
-/// Checks a placement with the naive scheduler's own rows: whole gang, enough room, within its span.
+/// Checks a placement with the baseline scheduler's own functions.
+///
+/// The placement must have all tasks of the gang, fit the free resources of its workers and stay within the
+/// span of the shape.
 fn check_by_naive(tables: &Tables, shape: &Shape, placement: &Placement) -> Result<(), TestCaseError> {
     let tasks: u32 = placement.values().sum();
-    prop_assert_eq!(tasks, shape.tasks, "gang is whole");
+    prop_assert_eq!(tasks, shape.tasks, "all tasks of the gang are placed");
     let rows: Vec<naive::Row> = naive::free_amounts(tables)
         .into_iter()
         .filter_map(|row| {
@@ -89,7 +92,7 @@
             row.2.covers(shape.per_task().times(tasks)).then_some(row)
         })
         .collect();
-    prop_assert_eq!(rows.len(), placement.len(), "every worker has the room");
+    prop_assert_eq!(rows.len(), placement.len(), "every worker has the free resources");
     prop_assert!(naive::first_fit(&rows, shape).is_some(), "the workers are within the span");
     Ok(())
 }
@@ -107,7 +110,7 @@
 }
 
 fn requeue(tables: &mut Tables, job: &JobId) {
-    let running = tables.running.remove(job).expect("only running jobs yield");
+    let running = tables.running.remove(job).expect("only running jobs are preempted");
     let waiting = Waiting { demand: running.demand, since_ms: running.since_ms, done_ms: 0 };
     tables.waiting.insert(job.clone(), waiting);
 }
@@ -150,7 +153,7 @@
             prop_assert_eq!(&repeated.bindings.len(), &tables.plan.bindings.len());
             for (account, bindings) in &tables.plan.bindings {
                 for binding in bindings {
-                    prop_assert!(repeated.bindings[account].contains(binding), "a binding that stands stays");
+                    prop_assert!(repeated.bindings[account].contains(binding), "a valid binding is kept");
                 }
             }
             Ok(())
@@ -175,7 +178,7 @@
                         Action::Preempt { job, .. } => {
                             prop_assert!(
                                 tables.running[&job].demand.preemptible,
-                                "only work that may yields"
+                                "only preemptible work is preempted"
                             );
                             yielding.push(job);
                         }
@@ -207,7 +210,7 @@
                     apply(&mut tables, &job, placement, now_ms);
                 }
             }
-            // Claims hold room as if they ran.
+            // Claims hold resources as if their jobs ran.
             for (job, claim) in scheduler.claims.clone() {
                 apply(&mut tables, &job, claim.placement, now_ms);
             }
@@ -221,7 +224,11 @@
                     .map(|row| backing_uses[&row.worker].unused_backing(&demand.account))
                     .collect();
                 let entitled = find(&view, &demand.shape, &unused_backing).is_some();
-                prop_assert!(!entitled, "{} could stand on its own backing and has neither", demand.account);
+                prop_assert!(
+                    !entitled,
+                    "{} fits its own unused backing but has neither a start nor a claim",
+                    demand.account
+                );
             }
             Ok(())
         })
