--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -1,4 +1,4 @@
-//! The guarantee plan: guaranteed shapes bound to concrete workers.
+//! The guarantee plan, which binds guaranteed shapes to workers.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,6 @@
 /// One guaranteed shape and the workers that back it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Binding {
-    /// Guaranteed shape.
     pub shape: Shape,
     /// Tasks of the shape on each worker.
     pub placement: Placement,
@@ -27,57 +26,59 @@
 pub struct Plan {
     /// Bound shapes of each account.
     pub bindings: BTreeMap<AccountId, Vec<Binding>>,
-    /// Shapes that no free capacity could back.
+    /// Guaranteed shapes for which there was too little free capacity.
     pub shortfall: BTreeMap<AccountId, Vec<Shape>>,
 }
 
 impl Plan {
-    /// Returns the amounts that back each account on `worker`.
+    /// Returns the resources that back each account on `worker`.
     pub fn backing_on(&self, worker: &WorkerId) -> BTreeMap<AccountId, Amount> {
         let mut backing: BTreeMap<AccountId, Amount> = BTreeMap::new();
         for (account, bindings) in &self.bindings {
             for binding in bindings {
                 if let Some(&tasks) = binding.placement.get(worker) {
-                    *backing.entry(account.clone()).or_default() += binding.shape.each().times(tasks);
+                    *backing.entry(account.clone()).or_default() += binding.shape.per_task().times(tasks);
                 }
             }
         }
         backing
     }
 
-    /// Returns the amounts that back each account on each worker.
+    /// Returns the resources that back each account on each worker.
     pub fn backing(&self) -> BTreeMap<WorkerId, BTreeMap<AccountId, Amount>> {
-        let mut all: BTreeMap<WorkerId, BTreeMap<AccountId, Amount>> = BTreeMap::new();
+        let mut by_worker: BTreeMap<WorkerId, BTreeMap<AccountId, Amount>> = BTreeMap::new();
         for (account, bindings) in &self.bindings {
             for binding in bindings {
                 for (worker, &tasks) in &binding.placement {
-                    let on_worker = all.entry(worker.clone()).or_default();
-                    *on_worker.entry(account.clone()).or_default() += binding.shape.each().times(tasks);
+                    let on_worker = by_worker.entry(worker.clone()).or_default();
+                    *on_worker.entry(account.clone()).or_default() += binding.shape.per_task().times(tasks);
                 }
             }
         }
-        all
+        by_worker
     }
 }
 
-/// Binds every guarantee to workers, keeping each binding of `previous` that still stands.
+/// Binds every guarantee to workers, keeping each binding of `previous` that is still valid.
 ///
-/// The result depends only on the arguments, so every proposer with the same view proposes the same plan.
-/// Larger shapes are bound first, because they have the fewest places to go.
+/// The result depends only on the arguments, so every caller with the same data proposes the same plan.
+/// Larger shapes are bound first, because they fit in the fewest places.
 pub fn propose(
     accounts: &BTreeMap<AccountId, Account>,
     workers: &BTreeMap<WorkerId, Worker>,
     previous: &Plan,
 ) -> Plan {
-    let mut view = View::of_capacity(workers);
+    let mut view = View::with_full_capacity(workers);
     let mut plan = Plan::default();
     let mut unbound: Vec<(AccountId, Shape)> = Vec::new();
     for (account, config) in accounts {
         let mut kept = previous.bindings.get(account).cloned().unwrap_or_default();
         for shape in &config.guarantee {
-            let standing = kept.iter().position(|b| b.shape == *shape && view.holds(&b.shape, &b.placement));
-            match standing {
-                Some(at) => bind(&mut plan, &mut view, account, kept.swap_remove(at)),
+            let still_valid = kept
+                .iter()
+                .position(|binding| binding.shape == *shape && view.fits(&binding.shape, &binding.placement));
+            match still_valid {
+                Some(index) => bind(&mut plan, &mut view, account, kept.swap_remove(index)),
                 None => unbound.push((account.clone(), *shape)),
             }
         }
@@ -96,6 +97,6 @@
 }
 
 fn bind(plan: &mut Plan, view: &mut View, account: &AccountId, binding: Binding) {
-    view.take(&binding.shape, &binding.placement);
+    view.allocate(&binding.shape, &binding.placement);
     plan.bindings.entry(account.clone()).or_default().push(binding);
 }
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -1,4 +1,4 @@
-//! Admission to the queue and the order in which waiting jobs are considered.
+//! Admission to the queue and the order in which waiting jobs are scheduled.
 
 use std::collections::BTreeMap;
 
@@ -13,11 +13,10 @@
 use crate::table::{Class, Demand, Tables, Waiting};
 use crate::view::View;
 
-/// Result of an admission.
+/// Result of an admission check.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// Tasks of one gang at most.
-pub const GANG_LIMIT_TASKS: u32 = 64;
+pub const MAX_GANG_TASKS: u32 = 64;
 
 /// Why a job was not admitted.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
@@ -40,7 +39,7 @@
     QueueFull {
         /// Account of the demand.
         account: AccountId,
-        /// Jobs that may wait.
+        /// Maximum number of waiting jobs.
         limit: u32,
     },
     /// The shape is malformed.
@@ -48,24 +47,24 @@
     BadShape {
         /// Shape of the demand.
         shape: Shape,
-        /// Tasks of a gang at most.
+        /// Maximum number of tasks of a gang.
         limit: u32,
     },
-    /// The shape fits no part of the fleet, even when it is empty.
+    /// The shape does not fit even an idle fleet.
     #[display(
         "shape {shape} fits nowhere: the fleet has {accelerators} accelerators, {widest} on one worker"
     )]
     NeverFits {
         /// Shape of the demand.
         shape: Shape,
-        /// Accelerators of the fleet.
+        /// Total accelerators of the fleet.
         accelerators: u32,
         /// Accelerators of the largest worker.
         widest: u32,
     },
 }
 
-/// Checks whether a demand may wait.
+/// Checks whether a demand may be queued.
 ///
 /// # Errors
 ///
@@ -85,25 +84,25 @@
     check_shape(tables, &demand.shape)
 }
 
-/// Checks whether the fleet could ever hold `shape`.
+/// Checks whether `shape` would fit an idle fleet.
 ///
 /// # Errors
 ///
 /// Returns the refusal when the shape is malformed or fits nowhere.
 pub fn check_shape(tables: &Tables, shape: &Shape) -> Result<()> {
-    if shape.tasks == 0 || shape.tasks > GANG_LIMIT_TASKS {
-        return Err(Refusal::BadShape { shape: *shape, limit: GANG_LIMIT_TASKS });
+    if shape.tasks == 0 || shape.tasks > MAX_GANG_TASKS {
+        return Err(Refusal::BadShape { shape: *shape, limit: MAX_GANG_TASKS });
     }
-    let view = View::of_capacity(&tables.workers);
+    let view = View::with_full_capacity(&tables.workers);
     if fits_empty(&view, shape) {
         return Ok(());
     }
-    let accelerators = view.cells.iter().map(|cell| cell.total.accelerators).sum();
-    let widest = view.cells.iter().map(|cell| cell.total.accelerators).max().unwrap_or_default();
+    let accelerators = view.worker_rows.iter().map(|row| row.total.accelerators).sum();
+    let widest = view.worker_rows.iter().map(|row| row.total.accelerators).max().unwrap_or_default();
     Err(Refusal::NeverFits { shape: *shape, accelerators, widest })
 }
 
-/// Rank of a waiting job; the smallest is considered first.
+/// Rank of a waiting job; the smallest is scheduled first.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
 struct Rank {
     tier: u8,
@@ -111,11 +110,12 @@
     since_ms: Millis,
 }
 
-/// Returns the waiting jobs in the order in which they are considered.
+/// Returns the waiting jobs in scheduling order.
 ///
-/// Urgent jobs come first, then jobs past the reservation bound by age, then the rest by how long they have
-/// waited for their estimated size, scaled by how far their account is beyond its share.
-pub fn order<'a>(
+/// Urgent jobs come first, then jobs that waited for `Policy::reserve_after_ms`, by width if
+/// `Policy::wide_first` is set and then by age. The rest follow by estimated remaining run time and width,
+/// scaled by how far their account is beyond its guarantee.
+pub fn scheduling_order<'a>(
     tables: &'a Tables,
     policy: &Policy,
     usage: &BTreeMap<AccountId, Amount>,
@@ -158,15 +158,15 @@
     waiting: &Waiting,
 ) -> f64 {
     let demand = &waiting.demand;
-    let time = tables.remaining_ms(waiting) as f64;
+    let time_ms = tables.remaining_ms(waiting) as f64;
     let width = f64::from(demand.shape.total().accelerators.max(1));
-    let excess = tables.accounts.get(&demand.account).map_or(1.0, |account| {
+    let usage_penalty = tables.accounts.get(&demand.account).map_or(1.0, |account| {
         let used = usage.get(&demand.account).copied().unwrap_or_default();
-        let beyond = used.less(account.guaranteed()).accelerators;
-        1.0 + f64::from(beyond) / f64::from(account.weight.max(1)) / 16.0
+        let over_guarantee = used.saturating_sub(account.guaranteed()).accelerators;
+        1.0 + f64::from(over_guarantee) / f64::from(account.weight.max(1)) / 16.0
     });
-    // Short work first serves completion time; wide work first keeps large shapes from scattering.
-    let by_time = time.ln() * policy.completion_weight;
-    let by_width = width.ln() * (policy.completion_weight - policy.fragmentation_weight);
-    by_time + by_width + excess.ln()
+    // Short jobs first lowers completion times; wide jobs first avoids fragmentation of large shapes.
+    let time_term = time_ms.ln() * policy.completion_weight;
+    let width_term = width.ln() * (policy.completion_weight - policy.fragmentation_weight);
+    time_term + width_term + usage_penalty.ln()
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,4 +1,4 @@
-//! A flat view of the workers' free resources, ordered by place.
+//! A flat view of the workers' free resources, ordered by location.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -10,22 +10,21 @@
 
 /// A worker's row of the view.
 #[derive(Clone, Debug)]
-pub struct Cell {
+pub struct WorkerRow {
     /// Name of the worker.
     pub worker: WorkerId,
-    /// Resources in all; zero while the worker takes nothing new.
+    /// Total usable resources; zero for a worker that the view excludes.
     pub total: Amount,
-    /// Resources that nothing holds.
+    /// Resources that no gang holds.
     pub free: Amount,
-    /// Accelerators that back guarantees.
+    /// Accelerators planned for guarantees.
     pub planned: u32,
 }
 
-/// Workers ordered by region, domain, rack and name, with the ranges of each level.
+/// Workers ordered by region, domain, rack and name, with the row ranges of each level.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Rows in order of place.
-    pub cells: Vec<Cell>,
+    pub worker_rows: Vec<WorkerRow>,
     index: BTreeMap<WorkerId, usize>,
     rows: Vec<Range<usize>>,
     racks: Vec<Range<usize>>,
@@ -34,35 +33,35 @@
 }
 
 impl View {
-    /// Creates a view of the whole capacity of the workers that back guarantees.
-    pub fn of_capacity(workers: &BTreeMap<WorkerId, Worker>) -> Self {
+    /// Creates a view with the full capacity of the workers that may back guarantees.
+    pub fn with_full_capacity(workers: &BTreeMap<WorkerId, Worker>) -> Self {
         Self::build(workers, Worker::backs_guarantees)
     }
 
-    /// Creates a view of the free capacity of the ready workers.
-    pub fn of_tables(tables: &Tables) -> Self {
+    /// Creates a view with the free capacity of the ready workers.
+    pub fn with_free_capacity(tables: &Tables) -> Self {
         let mut view = Self::build(&tables.workers, |w| w.standing == Standing::Ready);
         for running in tables.running.values() {
-            view.take(&running.demand.shape, &running.placement);
+            view.allocate(&running.demand.shape, &running.placement);
         }
         view
     }
 
-    fn build(workers: &BTreeMap<WorkerId, Worker>, open: impl Fn(&Worker) -> bool) -> Self {
+    fn build(workers: &BTreeMap<WorkerId, Worker>, is_usable: impl Fn(&Worker) -> bool) -> Self {
         let mut rows: Vec<(&WorkerId, &Worker)> = workers.iter().collect();
         rows.sort_by(|a, b| (&a.1.place, a.0).cmp(&(&b.1.place, b.0)));
-        let cells = rows
+        let worker_rows = rows
             .iter()
             .map(|(id, worker)| {
-                let total = if open(worker) { worker.capacity } else { Amount::default() };
-                Cell { worker: (*id).clone(), total, free: total, planned: 0 }
+                let total = if is_usable(worker) { worker.capacity } else { Amount::default() };
+                WorkerRow { worker: (*id).clone(), total, free: total, planned: 0 }
             })
             .collect();
-        let index = rows.iter().enumerate().map(|(at, (id, _))| ((*id).clone(), at)).collect();
-        let ranges = |same: fn(&Worker, &Worker) -> bool| split(&rows, same);
+        let index = rows.iter().enumerate().map(|(row, (id, _))| ((*id).clone(), row)).collect();
+        let ranges = |same_group: fn(&Worker, &Worker) -> bool| group_ranges(&rows, same_group);
         Self {
-            rows: (0..rows.len()).map(|at| at..at + 1).collect(),
-            cells,
+            rows: (0..rows.len()).map(|row| row..row + 1).collect(),
+            worker_rows,
             index,
             racks: ranges(|a, b| a.place == b.place),
             domains: ranges(|a, b| a.place.region == b.place.region && a.place.domain == b.place.domain),
@@ -75,12 +74,12 @@
         self.index.get(worker).copied()
     }
 
-    /// Returns the free amounts of all rows.
+    /// Returns the free resources of each row.
     pub fn free(&self) -> Vec<Amount> {
-        self.cells.iter().map(|cell| cell.free).collect()
+        self.worker_rows.iter().map(|worker_row| worker_row.free).collect()
     }
 
-    /// Returns the groups of rows at a level of the topology.
+    /// Returns the row range of each group at a level of the topology.
     pub fn groups(&self, span: Span) -> &[Range<usize>] {
         match span {
             Span::Worker => &self.rows,
@@ -90,41 +89,45 @@
         }
     }
 
-    /// Returns whether the free amounts hold `shape` at `placement`.
-    pub fn holds(&self, shape: &Shape, placement: &Placement) -> bool {
+    /// Returns whether `shape` fits the free resources at `placement`.
+    pub fn fits(&self, shape: &Shape, placement: &Placement) -> bool {
         placement.iter().all(|(worker, &tasks)| {
-            self.row(worker).is_some_and(|at| self.cells[at].free.holds(shape.each().times(tasks)))
+            self.row(worker)
+                .is_some_and(|row| self.worker_rows[row].free.covers(shape.per_task().times(tasks)))
         })
     }
 
-    /// Takes `shape` at `placement` from the free amounts.
-    pub fn take(&mut self, shape: &Shape, placement: &Placement) {
+    /// Subtracts `shape` at `placement` from the free resources.
+    pub fn allocate(&mut self, shape: &Shape, placement: &Placement) {
         for (worker, &tasks) in placement {
-            if let Some(at) = self.row(worker) {
-                self.cells[at].free -= shape.each().times(tasks);
+            if let Some(row) = self.row(worker) {
+                self.worker_rows[row].free -= shape.per_task().times(tasks);
             }
         }
     }
 
-    /// Gives `shape` at `placement` back to the free amounts.
-    pub fn give(&mut self, shape: &Shape, placement: &Placement) {
+    /// Returns `shape` at `placement` to the free resources.
+    pub fn release(&mut self, shape: &Shape, placement: &Placement) {
         for (worker, &tasks) in placement {
-            if let Some(at) = self.row(worker) {
-                let cell = &mut self.cells[at];
-                cell.free += shape.each().times(tasks);
-                cell.free = cell.free.min(cell.total);
+            if let Some(row) = self.row(worker) {
+                let worker_row = &mut self.worker_rows[row];
+                worker_row.free += shape.per_task().times(tasks);
+                worker_row.free = worker_row.free.min(worker_row.total);
             }
         }
     }
 }
 
-fn split(rows: &[(&WorkerId, &Worker)], same: fn(&Worker, &Worker) -> bool) -> Vec<Range<usize>> {
+fn group_ranges(
+    rows: &[(&WorkerId, &Worker)],
+    same_group: fn(&Worker, &Worker) -> bool,
+) -> Vec<Range<usize>> {
     let mut ranges = Vec::new();
     let mut start = 0;
-    for at in 1..=rows.len() {
-        if at == rows.len() || !same(rows[start].1, rows[at].1) {
-            ranges.push(start..at);
-            start = at;
+    for row in 1..=rows.len() {
+        if row == rows.len() || !same_group(rows[start].1, rows[row].1) {
+            ranges.push(start..row);
+            start = row;
         }
     }
     ranges
