--- a/crates/daemon/src/agent/authority.rs
+++ b/crates/daemon/src/agent/authority.rs
@@ -8,7 +8,7 @@
 use sorrelland_core::shape::Amount;
 use sorrelland_core::table::Class;
 use sorrelland_core::tick::{Cause, URGENT_GRACE_MS};
-use sorrelland_lease::{CommitPoint, Epoch, Member, Verdict};
+use sorrelland_lease::{CommitPoint, Epoch, Member, RenewalReply};
 use sorrelland_wire::agent::{AgentConfig, GangStatus, Renew, Reserve, ReserveReply};
 
 /// Time for which what is known about an ended gang is kept, in milliseconds.
@@ -230,7 +230,7 @@
     }
 
     /// Answers a member's renewal at this commit point.
-    pub fn renew(&mut self, renew: &Renew, now_ms: Millis) -> Verdict {
+    pub fn renew(&mut self, renew: &Renew, now_ms: Millis) -> RenewalReply {
         if let Some(reason) = &renew.failed {
             self.commit.stop(&renew.job, renew.epoch);
             if let Some(remembered) = self.remembered.get_mut(&renew.job) {
@@ -278,7 +278,7 @@
             ever_committed: self.commit.ever_committed(job),
             failed: remembered.and_then(|r| r.failed.clone()),
             hold: self.member.holds().get(job).map(|hold| (hold.epoch, hold.phase)),
-            least_epoch: self.member.least_epoch(job),
+            least_epoch: self.member.min_allowed_epoch(job),
             done_ms: remembered.map_or(0, |r| r.done_ms),
         }
     }
--- a/crates/daemon/src/agent/gang.rs
+++ b/crates/daemon/src/agent/gang.rs
@@ -5,7 +5,7 @@
 
 use sorrelland_core::id::JobId;
 use sorrelland_core::policy::Millis;
-use sorrelland_lease::{Epoch, Phase, Verdict};
+use sorrelland_lease::{Epoch, Phase, RenewalReply};
 use sorrelland_wire::agent::{AgentConfig, Renew, Reserve, ReserveReply};
 use sorrelland_wire::connect::within;
 
@@ -117,17 +117,17 @@
         let now_ms = self.now_ms();
         let (job, epoch) = (&renew.job, renew.epoch);
         match verdict {
-            Verdict::Stop => self.fence(job, epoch).await,
-            Verdict::Wait => {
+            RenewalReply::Stop => self.fence(job, epoch).await,
+            RenewalReply::Wait => {
                 // A lapsed hold is ended by the loop; there is nothing to extend.
-                let _ = lock(&self.authority).member.renewed(job, epoch, sent_ms, lease_ms, now_ms);
+                let _ = lock(&self.authority).member.extend_lease(job, epoch, sent_ms, lease_ms, now_ms);
             }
-            Verdict::Go if renew.finished => lock(&self.authority).release(job, epoch),
-            Verdict::Go => {
+            RenewalReply::Go if renew.finished => lock(&self.authority).release(job, epoch),
+            RenewalReply::Go => {
                 let starts = {
                     let mut authority = lock(&self.authority);
-                    let renewed = authority.member.renewed(job, epoch, sent_ms, lease_ms, now_ms);
-                    renewed.and_then(|()| authority.member.go(job, epoch, now_ms))
+                    let renewed = authority.member.extend_lease(job, epoch, sent_ms, lease_ms, now_ms);
+                    renewed.and_then(|()| authority.member.pass_barrier(job, epoch, now_ms))
                 };
                 match starts {
                     Ok(true) => self.start_tasks(job, epoch).await,
@@ -138,7 +138,7 @@
         }
     }
 
-    async fn ask_commit_point(&self, renew: &Renew) -> Option<Verdict> {
+    async fn ask_commit_point(&self, renew: &Renew) -> Option<RenewalReply> {
         let address = {
             let mut authority = lock(&self.authority);
             let grant = authority.grants.get(&renew.job)?;
@@ -249,7 +249,7 @@
         } else if mine.len() == names.len() && mine.iter().all(|task| task.state == TaskState::Done) {
             let now_ms = self.now_ms();
             let mut authority = lock(&self.authority);
-            let finished = authority.member.finish(job, epoch, now_ms);
+            let finished = authority.member.mark_finished(job, epoch, now_ms);
             if finished.is_ok()
                 && let Some(grant) = authority.grants.get_mut(job)
             {
--- a/crates/daemon/src/agent/service.rs
+++ b/crates/daemon/src/agent/service.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use sorrelland_core::id::JobId;
-use sorrelland_lease::{Epoch, GangState, Verdict};
+use sorrelland_lease::{Epoch, GangState, RenewalReply};
 use sorrelland_wire::agent::{
     AgentConfig, AgentRpc, Exec, ExecReply, GangStatus, Outcome, Renew, Reserve, ReserveReply,
 };
@@ -44,12 +44,12 @@
 
     async fn commit(self, _: Context, job: JobId, epoch: Epoch) -> Option<GangState> {
         let now_ms = self.0.now_ms();
-        let state = lock(&self.0.authority).commit.ask(&job, epoch, now_ms);
+        let state = lock(&self.0.authority).commit.request_commit(&job, epoch, now_ms);
         self.0.wake.notify_one();
         state
     }
 
-    async fn renew(self, _: Context, renew: Renew) -> Verdict {
+    async fn renew(self, _: Context, renew: Renew) -> RenewalReply {
         let now_ms = self.0.now_ms();
         lock(&self.0.authority).renew(&renew, now_ms)
     }
--- a/crates/daemon/src/agent/short.rs
+++ b/crates/daemon/src/agent/short.rs
@@ -10,7 +10,7 @@
 use sorrelland_core::id::WorkerId;
 use sorrelland_core::policy::Millis;
 use sorrelland_core::route::NotRun;
-use sorrelland_lease::{Begin, Key, KeyTable, Window};
+use sorrelland_lease::{Key, KeyStatus, KeyTable, KeyWindow};
 use sorrelland_wire::agent::{Exec, Outcome};
 use tokio::sync::Notify;
 
@@ -65,13 +65,13 @@
     }
 
     /// Returns the window in which keys are minted now.
-    pub fn window(&self) -> Window {
+    pub fn window(&self) -> KeyWindow {
         lock(&self.keys).window().clone()
     }
 
     /// Opens the next window of keys.
     pub fn advance(&self) {
-        lock(&self.keys).advance();
+        lock(&self.keys).open_next_window();
     }
 
     fn record(&self, service: Duration) {
@@ -127,7 +127,7 @@
             Some(Err(())) => self.await_other(&exec, &key).await,
             None => {
                 let outcome = self.run_once(&exec).await;
-                lock(&self.shorts.keys).end(&key, outcome.clone());
+                lock(&self.shorts.keys).record_outcome(&key, outcome.clone());
                 self.shorts.ended.notify_waiters();
                 outcome
             }
@@ -205,14 +205,14 @@
 }
 
 /// Returns the outcome that a key's record gives, an error while it runs, or `None` for fresh work.
-fn begin_outcome(begun: Begin<Outcome>) -> Option<Result<Outcome, ()>> {
+fn begin_outcome(begun: KeyStatus<Outcome>) -> Option<Result<Outcome, ()>> {
     match begun {
-        Begin::Fresh => None,
-        Begin::Running => Some(Err(())),
-        Begin::Ended(outcome) => Some(Ok(outcome)),
-        Begin::Unknown => {
+        KeyStatus::New => None,
+        KeyStatus::Running => Some(Err(())),
+        KeyStatus::Ended(outcome) => Some(Ok(outcome)),
+        KeyStatus::Unknown => {
             Some(Ok(Outcome::Unknown { reason: "the key's home does not remember it".to_owned() }))
         }
-        Begin::Full => Some(Ok(Outcome::NotRun { reason: NotRun::Busy, retry_ms: RETRY_MS })),
+        KeyStatus::Full => Some(Ok(Outcome::NotRun { reason: NotRun::Busy, retry_ms: RETRY_MS })),
     }
 }
--- a/crates/lease/src/commit.rs
+++ b/crates/lease/src/commit.rs
@@ -1,4 +1,4 @@
-//! The single commit point of a gang: all members hold, then all go.
+//! Commit point of a gang: no member starts its tasks before every member holds its slots.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,26 +9,26 @@
 
 use crate::epoch::Epoch;
 
-/// What the commit point answers a member's renewal.
+/// Reply of the commit point to a member's renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Verdict {
-    /// Hold on behind the barrier.
+pub enum RenewalReply {
+    /// Keep holding the slots behind the barrier.
     Wait,
-    /// The gang is committed: run.
+    /// The gang is committed: run the tasks.
     Go,
-    /// The epoch is over: stop.
+    /// The epoch has ended: stop the tasks.
     Stop,
 }
 
-/// How far a gang has come.
+/// State of a gang in one epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum GangState {
-    /// Some member has not confirmed its hold, or the claimant has not asked to commit.
+    /// Some member has not confirmed its hold, or the claimant has not requested the commit.
     Gathering,
-    /// All members held and the claimant asked: the gang goes.
+    /// All members held their slots when the claimant had requested the commit; the tasks run.
     Committed,
-    /// Every member finished.
+    /// Every member has finished.
     Done,
     /// The epoch ended before every member finished.
     Stopped,
@@ -38,14 +38,15 @@
 struct Gang {
     epoch: Epoch,
     state: GangState,
-    asked: bool,
+    commit_requested: bool,
     ever_committed: bool,
+    /// Time of each member's last renewal, if there was one.
     members: BTreeMap<WorkerId, Option<Millis>>,
     finished: BTreeSet<WorkerId>,
     opened_ms: Millis,
 }
 
-/// Gangs for which one agent is the commit point.
+/// Gangs whose commit point is this agent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CommitPoint {
     lease_ms: Millis,
@@ -53,12 +54,12 @@
 }
 
 impl CommitPoint {
-    /// Creates a commit point whose members renew within `lease_ms`.
+    /// Creates a commit point whose members must renew within `lease_ms`.
     pub fn new(lease_ms: Millis) -> Self {
         Self { lease_ms, gangs: BTreeMap::new() }
     }
 
-    /// Opens an epoch of a gang; an older epoch of the job is replaced, a newer one stays.
+    /// Opens an epoch of a gang. It replaces an older epoch of the job; with an equal or newer one, it does nothing.
     pub fn open(
         &mut self,
         job: &JobId,
@@ -72,7 +73,7 @@
         let gang = Gang {
             epoch,
             state: GangState::Gathering,
-            asked: false,
+            commit_requested: false,
             ever_committed: false,
             members: members.into_iter().map(|member| (member, None)).collect(),
             finished: BTreeSet::new(),
@@ -81,16 +82,16 @@
         self.gangs.insert(job.clone(), gang);
     }
 
-    /// Records that the claimant asks to commit.
-    pub fn ask(&mut self, job: &JobId, epoch: Epoch, now_ms: Millis) -> Option<GangState> {
+    /// Records that the claimant requests the commit; returns `None` if the epoch is not the job's latest.
+    pub fn request_commit(&mut self, job: &JobId, epoch: Epoch, now_ms: Millis) -> Option<GangState> {
         let lease_ms = self.lease_ms;
         let gang = self.gangs.get_mut(job).filter(|gang| gang.epoch == epoch)?;
-        gang.asked = true;
-        gang.commit_if_complete(now_ms, lease_ms);
+        gang.commit_requested = true;
+        gang.commit_if_all_held(now_ms, lease_ms);
         Some(gang.state)
     }
 
-    /// Records a member's renewal and answers it.
+    /// Records a member's renewal and returns the reply to it.
     pub fn renew(
         &mut self,
         job: &JobId,
@@ -98,18 +99,18 @@
         member: &WorkerId,
         finished: bool,
         now_ms: Millis,
-    ) -> Verdict {
+    ) -> RenewalReply {
         let lease_ms = self.lease_ms;
         let Some(gang) = self.gangs.get_mut(job).filter(|gang| gang.epoch == epoch) else {
-            return Verdict::Stop;
+            return RenewalReply::Stop;
         };
-        let Some(seen_ms) = gang.members.get_mut(member) else {
-            return Verdict::Stop;
+        let Some(renewed_ms) = gang.members.get_mut(member) else {
+            return RenewalReply::Stop;
         };
         if matches!(gang.state, GangState::Gathering | GangState::Committed) {
-            *seen_ms = Some(now_ms);
+            *renewed_ms = Some(now_ms);
         }
-        gang.commit_if_complete(now_ms, lease_ms);
+        gang.commit_if_all_held(now_ms, lease_ms);
         if finished && gang.state == GangState::Committed {
             gang.finished.insert(member.clone());
             if gang.finished.len() == gang.members.len() {
@@ -117,13 +118,13 @@
             }
         }
         match gang.state {
-            GangState::Gathering => Verdict::Wait,
-            GangState::Committed | GangState::Done => Verdict::Go,
-            GangState::Stopped => Verdict::Stop,
+            GangState::Gathering => RenewalReply::Wait,
+            GangState::Committed | GangState::Done => RenewalReply::Go,
+            GangState::Stopped => RenewalReply::Stop,
         }
     }
 
-    /// Stops an epoch and everything before it; a gang that is done stays done.
+    /// Stops the job's gang if its epoch is `epoch` or older; a gang that is done stays done.
     pub fn stop(&mut self, job: &JobId, epoch: Epoch) -> Option<GangState> {
         let gang = self.gangs.get_mut(job).filter(|gang| gang.epoch <= epoch)?;
         if gang.state != GangState::Done {
@@ -132,7 +133,9 @@
         Some(gang.state)
     }
 
-    /// Stops the gangs with a member that has not renewed within the lease; returns them.
+    /// Stops and returns the gangs with an unfinished member that has not renewed within the lease.
+    ///
+    /// For a member that has never renewed, the lease counts from the opening of the epoch.
     pub fn expire(&mut self, now_ms: Millis) -> Vec<(JobId, Epoch)> {
         let lease_ms = self.lease_ms;
         let mut stopped = Vec::new();
@@ -141,9 +144,11 @@
                 continue;
             }
             let opened_ms = gang.opened_ms;
-            let late = |seen_ms: &Option<Millis>| now_ms >= seen_ms.unwrap_or(opened_ms) + lease_ms;
-            let lapsed =
-                gang.members.iter().any(|(member, seen_ms)| !gang.finished.contains(member) && late(seen_ms));
+            let expired = |renewed_ms: &Option<Millis>| now_ms >= renewed_ms.unwrap_or(opened_ms) + lease_ms;
+            let lapsed = gang
+                .members
+                .iter()
+                .any(|(member, renewed_ms)| !gang.finished.contains(member) && expired(renewed_ms));
             if lapsed {
                 gang.state = GangState::Stopped;
                 stopped.push((job.clone(), gang.epoch));
@@ -157,12 +162,12 @@
         self.gangs.get(job).map(|gang| (gang.epoch, gang.state))
     }
 
-    /// Returns whether the job's latest gang ever went past the barrier.
+    /// Returns whether the job's latest gang was ever committed, even if it has stopped since.
     pub fn ever_committed(&self, job: &JobId) -> bool {
         self.gangs.get(job).is_some_and(|gang| gang.ever_committed)
     }
 
-    /// Forgets ended gangs for which `keep` returns false.
+    /// Removes ended gangs for which `keep` returns false.
     pub fn retain_ended(&mut self, keep: impl Fn(&JobId) -> bool) {
         self.gangs.retain(|job, gang| {
             matches!(gang.state, GangState::Gathering | GangState::Committed) || keep(job)
@@ -171,10 +176,11 @@
 }
 
 impl Gang {
-    fn commit_if_complete(&mut self, now_ms: Millis, lease_ms: Millis) {
-        let fresh = |seen_ms: &Option<Millis>| seen_ms.is_some_and(|seen_ms| now_ms < seen_ms + lease_ms);
-        let complete = self.members.values().all(fresh);
-        if self.state == GangState::Gathering && self.asked && complete {
+    fn commit_if_all_held(&mut self, now_ms: Millis, lease_ms: Millis) {
+        let unexpired =
+            |renewed_ms: &Option<Millis>| renewed_ms.is_some_and(|renewed_ms| now_ms < renewed_ms + lease_ms);
+        let all_held = self.members.values().all(unexpired);
+        if self.state == GangState::Gathering && self.commit_requested && all_held {
             self.state = GangState::Committed;
             self.ever_committed = true;
         }
--- a/crates/lease/src/epoch.rs
+++ b/crates/lease/src/epoch.rs
@@ -1,13 +1,13 @@
-//! Epochs, which order the attempts to run a job.
+//! Epochs: fencing tokens that order the attempts to run a job.
 
 use derive_more::Display;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Bits of an epoch that number the attempts under one claim.
+/// Low bits of an epoch, which number the attempts under one claim.
 const ATTEMPT_BITS: u32 = 16;
 
-/// An attempt to run a job; later claims and later attempts are greater.
+/// Number of an attempt to run a job; it grows with each claim and each attempt under a claim.
 #[derive(
     Clone,
     Copy,
@@ -32,7 +32,7 @@
         Self(((claim + 1) << ATTEMPT_BITS) | u64::from(attempt))
     }
 
-    /// Returns the log offset of the claim under which the attempt was made.
+    /// Returns the log offset of the claim under which the attempt was made; `None` for the default epoch.
     pub fn claim(self) -> Option<u64> {
         (self.0 >> ATTEMPT_BITS).checked_sub(1)
     }
--- a/crates/lease/src/member.rs
+++ b/crates/lease/src/member.rs
@@ -1,4 +1,4 @@
-//! An agent as a member of gangs: what it holds, until when, and what it refuses.
+//! Holds and fences of an agent whose worker takes part in gangs.
 
 use std::collections::BTreeMap;
 
@@ -9,53 +9,51 @@
 
 use crate::epoch::Epoch;
 
-/// Result of a member's decision.
+/// Result of a request to a member.
 pub type Result<T> = std::result::Result<T, Refusal>;
 
-/// Why a member refused.
+/// Why a member refused a request.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// A greater or equal epoch was fenced.
-    #[display("epoch is fenced; the least that may run is {least}")]
+    /// The epoch is fenced: it is at or below the greatest fenced epoch of the job.
+    #[display("epoch is fenced; the minimum allowed epoch is {least}")]
     Fenced {
-        /// The least epoch that is not fenced.
+        /// Smallest epoch that is not fenced.
         least: Epoch,
     },
     /// The member holds another epoch of the job.
-    #[display("another epoch, {held}, holds the job")]
+    #[display("the job is held by another epoch, {held}")]
     OtherEpoch {
-        /// Epoch that holds.
+        /// Epoch of the existing hold.
         held: Epoch,
     },
-    /// The member holds nothing for the job.
-    #[display("nothing is held for the job")]
+    /// The member has no hold for the job.
+    #[display("no hold for the job")]
     NotHeld,
-    /// The lease ended.
-    #[display("the lease has ended")]
+    /// The lease has expired.
+    #[display("the lease has expired")]
     Lapsed,
 }
 
-/// How far a hold has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// The slots are held and the tasks wait behind the barrier.
+    /// The slots are reserved and the tasks wait behind the barrier.
     Held,
     /// The gang is committed and the tasks run.
     Running,
-    /// The tasks ended by themselves.
+    /// The tasks ended without being stopped.
     Finished,
 }
 
-/// What a member holds for one epoch of a job.
+/// Slots that a member reserves for one epoch of a job, under a lease.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Hold {
-    /// Attempt for which the slots are held.
+    /// Attempt for which the slots are reserved.
     pub epoch: Epoch,
-    /// Worker whose agent decides when the gang goes.
+    /// Worker whose agent is the commit point of the gang.
     pub commit_point: WorkerId,
-    /// How far the hold has come.
     pub phase: Phase,
-    /// Time at which the hold ends unless it is renewed.
+    /// Time at which the hold expires unless it is renewed.
     pub lease_end_ms: Millis,
 }
 
@@ -67,7 +65,6 @@
 }
 
 impl Member {
-    /// Creates a member that holds nothing.
     pub fn new() -> Self {
         Self::default()
     }
@@ -77,16 +74,16 @@
         &self.holds
     }
 
-    /// Returns the least epoch of `job` that is not fenced.
-    pub fn least_epoch(&self, job: &JobId) -> Epoch {
+    /// Returns the smallest epoch of `job` that is not fenced.
+    pub fn min_allowed_epoch(&self, job: &JobId) -> Epoch {
         self.fences.get(job).copied().unwrap_or_default()
     }
 
-    /// Holds the job's slots until `lease_end_ms`; asking again for the same epoch changes nothing.
+    /// Reserves the job's slots until `lease_end_ms`; repeating the call for the same epoch changes nothing.
     ///
     /// # Errors
     ///
-    /// Refuses a fenced epoch, and any epoch while another holds the job.
+    /// Refuses a fenced epoch, and any other epoch than that of an existing hold of the job.
     pub fn reserve(
         &mut self,
         job: &JobId,
@@ -106,12 +103,12 @@
         Ok(())
     }
 
-    /// Checks whether a hold may be renewed at `now_ms`.
+    /// Returns the hold if it may be renewed at `now_ms`.
     ///
     /// # Errors
     ///
-    /// Refuses when the hold is gone, lapsed, fenced or of another epoch.
-    pub fn may_renew(&self, job: &JobId, epoch: Epoch, now_ms: Millis) -> Result<&Hold> {
+    /// Refuses when there is no hold, its lease has expired, or its epoch is fenced or another one.
+    pub fn check_renewal(&self, job: &JobId, epoch: Epoch, now_ms: Millis) -> Result<&Hold> {
         self.check_fence(job, epoch)?;
         let hold = self.holds.get(job).ok_or(Refusal::NotHeld)?;
         if hold.epoch != epoch {
@@ -123,14 +120,14 @@
         Ok(hold)
     }
 
-    /// Extends a hold after the commit point answered a renewal sent at `sent_ms`.
+    /// Extends a hold after the commit point's reply to a renewal sent at `sent_ms`.
     ///
-    /// The lease counts from the sending, so it never outlives the commit point's record of it.
+    /// The lease counts from the time of sending, so that it never ends after the commit point's own record of it.
     ///
     /// # Errors
     ///
-    /// Refuses as [`Member::may_renew`] does.
-    pub fn renewed(
+    /// Refuses as [`Member::check_renewal`] does.
+    pub fn extend_lease(
         &mut self,
         job: &JobId,
         epoch: Epoch,
@@ -138,20 +135,20 @@
         lease_ms: Millis,
         now_ms: Millis,
     ) -> Result<()> {
-        self.may_renew(job, epoch, now_ms)?;
+        self.check_renewal(job, epoch, now_ms)?;
         if let Some(hold) = self.holds.get_mut(job) {
             hold.lease_end_ms = hold.lease_end_ms.max(sent_ms + lease_ms);
         }
         Ok(())
     }
 
-    /// Passes the barrier; returns whether the tasks have to be started now.
+    /// Records that the gang is committed; returns whether the tasks have yet to be started.
     ///
     /// # Errors
     ///
-    /// Refuses as [`Member::may_renew`] does.
-    pub fn go(&mut self, job: &JobId, epoch: Epoch, now_ms: Millis) -> Result<bool> {
-        self.may_renew(job, epoch, now_ms)?;
+    /// Refuses as [`Member::check_renewal`] does.
+    pub fn pass_barrier(&mut self, job: &JobId, epoch: Epoch, now_ms: Millis) -> Result<bool> {
+        self.check_renewal(job, epoch, now_ms)?;
         match self.holds.get_mut(job) {
             Some(hold) if hold.phase == Phase::Held => {
                 hold.phase = Phase::Running;
@@ -161,45 +158,45 @@
         }
     }
 
-    /// Records that the tasks ended by themselves.
+    /// Records that the tasks ended without being stopped.
     ///
     /// # Errors
     ///
-    /// Refuses as [`Member::may_renew`] does, so a late result of an old epoch is not accepted.
-    pub fn finish(&mut self, job: &JobId, epoch: Epoch, now_ms: Millis) -> Result<()> {
-        self.may_renew(job, epoch, now_ms)?;
+    /// Refuses as [`Member::check_renewal`] does, so that a late result of an old epoch is not accepted.
+    pub fn mark_finished(&mut self, job: &JobId, epoch: Epoch, now_ms: Millis) -> Result<()> {
+        self.check_renewal(job, epoch, now_ms)?;
         if let Some(hold) = self.holds.get_mut(job) {
             hold.phase = Phase::Finished;
         }
         Ok(())
     }
 
-    /// Refuses `epoch` and everything before it from now on; returns the hold that has to stop.
+    /// Fences `epoch` and all older epochs of the job; removes and returns their hold, whose tasks must be stopped.
     pub fn fence(&mut self, job: &JobId, epoch: Epoch) -> Option<Hold> {
-        let least = self.fences.entry(job.clone()).or_default();
-        *least = (*least).max(epoch.next());
-        let stops = self.holds.get(job).is_some_and(|hold| hold.epoch <= epoch);
-        if stops { self.holds.remove(job) } else { None }
+        let min_epoch = self.fences.entry(job.clone()).or_default();
+        *min_epoch = (*min_epoch).max(epoch.next());
+        let fences_hold = self.holds.get(job).is_some_and(|hold| hold.epoch <= epoch);
+        if fences_hold { self.holds.remove(job) } else { None }
     }
 
-    /// Ends the holds whose lease is over, fences their epochs and returns them.
+    /// Removes the holds whose lease has expired, fences their epochs and returns them.
     pub fn expire(&mut self, now_ms: Millis) -> Vec<(JobId, Hold)> {
-        let lapsed: Vec<(JobId, Epoch)> = self
+        let expired: Vec<(JobId, Epoch)> = self
             .holds
             .iter()
             .filter(|(_, hold)| now_ms >= hold.lease_end_ms)
             .map(|(job, hold)| (job.clone(), hold.epoch))
             .collect();
-        lapsed.into_iter().filter_map(|(job, epoch)| Some((job.clone(), self.fence(&job, epoch)?))).collect()
+        expired.into_iter().filter_map(|(job, epoch)| Some((job.clone(), self.fence(&job, epoch)?))).collect()
     }
 
-    /// Forgets fences of jobs for which `keep` returns false.
+    /// Removes the fences of jobs for which `keep` returns false.
     pub fn retain_fences(&mut self, keep: impl Fn(&JobId) -> bool) {
         self.fences.retain(|job, _| keep(job));
     }
 
     fn check_fence(&self, job: &JobId, epoch: Epoch) -> Result<()> {
-        let least = self.least_epoch(job);
+        let least = self.min_allowed_epoch(job);
         if epoch < least { Err(Refusal::Fenced { least }) } else { Ok(()) }
     }
 }
--- a/crates/load/src/agents.rs
+++ b/crates/load/src/agents.rs
@@ -7,7 +7,7 @@
 use sorrelland_core::id::WorkerId;
 use sorrelland_core::shape::Amount;
 use sorrelland_core::topology::Place;
-use sorrelland_lease::Window;
+use sorrelland_lease::KeyWindow;
 use sorrelland_wire::EntryRpcClient;
 use sorrelland_wire::connect::{Connect, within};
 use sorrelland_wire::entry::{Beat, Report};
@@ -55,7 +55,7 @@
 
 async fn agent(at: usize, args: &Args, beats: &AtomicU64) {
     let worker = WorkerId::new(&format!("fake-{at:04}"));
-    let window = Window { worker: worker.clone(), incarnation: 1, number: 0 };
+    let window = KeyWindow { worker: worker.clone(), incarnation: 1, number: 0 };
     let report = Report {
         place: Place::new("region-1", &format!("domain-{}", at % 5), &format!("rack-{}", at / 10)),
         address: "127.0.0.1:1".to_owned(),
--- a/crates/spec/src/gang.rs
+++ b/crates/spec/src/gang.rs
@@ -5,7 +5,7 @@
 
 use sorrelland_core::id::{JobId, WorkerId};
 use sorrelland_core::policy::Millis;
-use sorrelland_lease::{CommitPoint, Epoch, Member, Phase, Verdict};
+use sorrelland_lease::{CommitPoint, Epoch, Member, Phase, RenewalReply};
 
 use crate::check::Model;
 
@@ -47,7 +47,7 @@
 enum Message {
     Reserve { member: usize, epoch: u64, life: u64 },
     Renew { member: usize, epoch: u64, life: u64, sent: Millis, finished: bool },
-    Answer { member: usize, epoch: u64, life: u64, sent: Millis, finished: bool, verdict: Verdict },
+    Answer { member: usize, epoch: u64, life: u64, sent: Millis, finished: bool, verdict: RenewalReply },
 }
 
 impl Message {
@@ -205,23 +205,23 @@
         epoch: u64,
         sent: Millis,
         finished: bool,
-        verdict: Verdict,
+        verdict: RenewalReply,
     ) {
         let (now, epoch_of) = (state.now, Epoch(epoch));
         let holds = &mut state.members[member];
         match verdict {
-            Verdict::Stop => self.fence(state, member, epoch),
-            Verdict::Wait => {
+            RenewalReply::Stop => self.fence(state, member, epoch),
+            RenewalReply::Wait => {
                 // A lapsed hold is not extended.
-                let _ = holds.renewed(&job(), epoch_of, sent, LEASE, now);
+                let _ = holds.extend_lease(&job(), epoch_of, sent, LEASE, now);
             }
-            Verdict::Go if finished => {
+            RenewalReply::Go if finished => {
                 holds.fence(&job(), epoch_of);
                 state.fenced_epochs[member] = state.fenced_epochs[member].max(epoch);
             }
-            Verdict::Go => {
-                let renewed = holds.renewed(&job(), epoch_of, sent, LEASE, now);
-                let starts = renewed.and_then(|()| holds.go(&job(), epoch_of, now));
+            RenewalReply::Go => {
+                let renewed = holds.extend_lease(&job(), epoch_of, sent, LEASE, now);
+                let starts = renewed.and_then(|()| holds.pass_barrier(&job(), epoch_of, now));
                 let lease_end = holds.holds().get(&job()).map_or(now, |hold| hold.lease_end_ms);
                 match starts {
                     Ok(true) => state.tasks[member] = Some(Task { epoch, lease_end }),
@@ -255,7 +255,7 @@
         }
         if let Some(task) = state.tasks[member] {
             let mut next = state.clone();
-            let accepted = next.members[member].finish(&job(), Epoch(task.epoch), state.now).is_ok();
+            let accepted = next.members[member].mark_finished(&job(), Epoch(task.epoch), state.now).is_ok();
             next.tasks[member] = None;
             next.late_result |= accepted && task.epoch <= state.fenced_epochs[member];
             steps.push((format!("tasks of member {member} end"), next));
@@ -275,7 +275,7 @@
     fn claimant_steps(&self, state: &State, steps: &mut Vec<(String, State)>) {
         if !state.fencing {
             let mut next = state.clone();
-            next.commit.ask(&job(), Epoch(EPOCH), state.now);
+            next.commit.request_commit(&job(), Epoch(EPOCH), state.now);
             note_commit(&mut next);
             steps.push(("claimant asks to commit".to_owned(), next));
             let mut next = state.clone();
--- a/crates/spec/src/key.rs
+++ b/crates/spec/src/key.rs
@@ -1,7 +1,7 @@
 //! At-most-once by key: two entries hand the same key over while its home restarts and forgets.
 
 use sorrelland_core::id::WorkerId;
-use sorrelland_lease::{Begin, Key, KeyTable};
+use sorrelland_lease::{Key, KeyStatus, KeyTable};
 
 use crate::check::Model;
 
@@ -81,7 +81,7 @@
         if state.running {
             let mut next = state.clone();
             next.running = false;
-            next.table.end(&key(1), true);
+            next.table.record_outcome(&key(1), true);
             steps.push(("the work ends".to_owned(), next));
         }
         if state.others < 2 {
@@ -92,7 +92,7 @@
         }
         if state.table.window().number < 4 {
             let mut next = state.clone();
-            next.table.advance();
+            next.table.open_next_window();
             steps.push(("the next window opens".to_owned(), next));
         }
         if state.life < LIVES {
@@ -126,18 +126,18 @@
             key.window.number = state.table.window().number;
         }
         match state.table.begin(&key) {
-            Begin::Fresh => {
+            KeyStatus::New => {
                 state.runs += 1;
                 state.running = true;
             }
-            Begin::Full => {
+            KeyStatus::Full => {
                 state.told_not_run = true;
                 if self.variant == Variant::NoSeal {
                     let life = state.life;
                     state.table = table(life);
                 }
             }
-            Begin::Running | Begin::Ended(_) | Begin::Unknown => {}
+            KeyStatus::Running | KeyStatus::Ended(_) | KeyStatus::Unknown => {}
         }
     }
 }
--- a/crates/wire/src/agent.rs
+++ b/crates/wire/src/agent.rs
@@ -9,7 +9,7 @@
 use sorrelland_core::shape::Amount;
 use sorrelland_core::table::Class;
 use sorrelland_core::tick::Cause;
-use sorrelland_lease::{Epoch, GangState, Key, Phase, Refusal, Verdict};
+use sorrelland_lease::{Epoch, GangState, Key, Phase, Refusal, RenewalReply};
 
 /// A short request handed to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -181,7 +181,7 @@
     /// Asks the commit point to commit.
     async fn commit(job: JobId, epoch: Epoch) -> Option<GangState>;
     /// Renews a member's hold at the commit point.
-    async fn renew(renew: Renew) -> Verdict;
+    async fn renew(renew: Renew) -> RenewalReply;
     /// Fences an epoch and everything before it.
     async fn stop(job: JobId, epoch: Epoch) -> GangStatus;
     /// Tells what the agent knows about a job; counts as a word of the claimant.
--- a/crates/wire/src/entry.rs
+++ b/crates/wire/src/entry.rs
@@ -6,7 +6,7 @@
 use sorrelland_core::shape::Amount;
 use sorrelland_core::table::Class;
 use sorrelland_core::topology::Place;
-use sorrelland_lease::{Epoch, Phase, Window};
+use sorrelland_lease::{Epoch, KeyWindow, Phase};
 
 use crate::agent::AgentConfig;
 
@@ -45,7 +45,7 @@
     /// Whether the agent takes nothing new.
     pub draining: bool,
     /// Window in which keys of this home are minted.
-    pub window: Window,
+    pub window: KeyWindow,
     /// Gangs on the worker.
     pub shares: Vec<ShareReport>,
 }
