--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -9,7 +9,7 @@
 use sorrelland_core::route::NotRun;
 use sorrelland_core::shape::Shape;
 use sorrelland_core::table::Class;
-use sorrelland_ledger::Final;
+use sorrelland_ledger::JobOutcome;
 use sorrelland_web::ApiError;
 
 use crate::entry::burn::Event;
@@ -172,7 +172,7 @@
     pub state: &'static str,
     /// Final outcome, once there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub outcome: Option<Final>,
+    pub outcome: Option<JobOutcome>,
     /// Workers that the job holds.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub workers: Vec<String>,
--- a/crates/daemon/src/entry/api.rs
+++ b/crates/daemon/src/entry/api.rs
@@ -12,7 +12,7 @@
 use sorrelland_core::queue::{Refusal, admit};
 use sorrelland_core::table::{Demand, Waiting};
 use sorrelland_lease::Key;
-use sorrelland_ledger::{Command, CommandRecord, Final, Job, JobSpec, Record, Stage};
+use sorrelland_ledger::{Command, CommandRecord, Job, JobOutcome, JobSpec, Record, Stage};
 use sorrelland_web::{ApiError, server};
 use tokio::sync::oneshot;
 
@@ -248,7 +248,7 @@
         state,
         outcome,
         workers,
-        age_ms: wall_ms().saturating_sub(job.at_ms),
+        age_ms: wall_ms().saturating_sub(job.accepted_ms),
         known_ms_ago: entry.config_age_ms(),
     }
 }
@@ -268,7 +268,7 @@
                 .filter(|(_, job)| job.stage == Stage::Waiting && job.spec.demand.account == demand.account);
             let waiting = |(name, job): (&JobId, &Job)| {
                 let demand = job.spec.demand.clone();
-                (name.clone(), Waiting { demand, since_ms: job.at_ms, done_ms: job.done_ms })
+                (name.clone(), Waiting { demand, since_ms: job.accepted_ms, done_ms: job.done_ms })
             };
             tables.waiting = waits.map(waiting).collect();
         });
@@ -287,7 +287,7 @@
     /// Records a job and its claim in one append; only then is it accepted.
     async fn accept(&self, name: &str, id: JobId, spec: JobSpec) -> Result<Response<Body>> {
         let records = vec![
-            Record::Accepted { job: id.clone(), spec: spec.clone(), at_ms: wall_ms() },
+            Record::Accepted { job: id.clone(), spec: spec.clone(), accepted_ms: wall_ms() },
             Record::Claim { job: id.clone(), entry: self.claimant.clone(), base: 0 },
         ];
         self.write(records).await.map_err(write_error)?;
@@ -318,16 +318,16 @@
             let tick = Duration::from_millis(50);
             match tokio::time::timeout(tick, &mut rx).await {
                 Ok(Ok(outcome)) => break outcome,
-                Ok(Err(_)) => break Final::Unknown { reason: "the attempt was lost".to_owned() },
+                Ok(Err(_)) => break JobOutcome::Unknown { reason: "the attempt was lost".to_owned() },
                 Err(_) if Instant::now() >= start_by && self.withdraw(&id) => {
                     let reason = format!("no room within {} ms", body.start_within_ms);
-                    break Final::NotRun { reason };
+                    break JobOutcome::NotRun { reason };
                 }
                 Err(_) => {}
             }
         };
         lock(&self.attached).remove(&id);
-        let not_run = matches!(outcome, Final::NotRun { .. });
+        let not_run = matches!(outcome, JobOutcome::NotRun { .. });
         let status = if not_run { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK };
         let answer = JobAnswer {
             name: body.name.clone(),
@@ -370,7 +370,7 @@
 #[endpoint { method = GET, path = "/v1/ready" }]
 async fn get_ready(cx: Cx) -> Result<Response<Body>> {
     let entry = cx.context();
-    let offset = entry.with_fold(|fold| fold.next);
+    let offset = entry.with_fold(|fold| fold.next_offset);
     let workers = lock(&entry.fleet).rows().len();
     let ready = offset.is_some() && workers > 0 && !entry.stop.is_raised();
     let answer = Readiness {
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -8,7 +8,7 @@
 use sorrelland_core::table::Placement;
 use sorrelland_core::tick::Cause;
 use sorrelland_lease::{Epoch, GangState};
-use sorrelland_ledger::{Final, JobSpec, Placed, Record, Stage};
+use sorrelland_ledger::{JobOutcome, JobSpec, Record, RecordedAttempt, Stage};
 use sorrelland_wire::agent::{GangStatus, Peer, Reserve, ReserveReply};
 use sorrelland_wire::connect::within;
 use tokio::sync::oneshot;
@@ -69,7 +69,7 @@
     /// Whether an attempt got past its reservation.
     pub started: bool,
     /// Where the final outcome goes; `None` once it was sent.
-    pub answered: Option<oneshot::Sender<Final>>,
+    pub answered: Option<oneshot::Sender<JobOutcome>>,
 }
 
 impl Attached {
@@ -135,7 +135,7 @@
     }
 
     /// Looks after a gang that another entry, or an earlier life of this one, recorded.
-    pub(super) async fn watch_adopted(&self, job: &JobId, spec: &JobSpec, placed: &Placed) {
+    pub(super) async fn watch_adopted(&self, job: &JobId, spec: &JobSpec, placed: &RecordedAttempt) {
         let peer = |worker: &WorkerId| Peer { worker: worker.clone(), address: self.agent_address(worker) };
         let gang = Gang {
             job,
@@ -448,7 +448,7 @@
         }
     }
 
-    fn answer_attached(&self, job: &JobId, outcome: Option<Final>) {
+    fn answer_attached(&self, job: &JobId, outcome: Option<JobOutcome>) {
         let mut table = lock(&self.attached);
         let Some(attached) = table.get_mut(job) else { return };
         match outcome {
@@ -468,7 +468,7 @@
         let ended = |job: &JobId| Record::Ended {
             job: job.clone(),
             epoch: Epoch::default(),
-            outcome: Final::NotRun { reason: "cancelled".to_owned() },
+            outcome: JobOutcome::NotRun { reason: "cancelled".to_owned() },
         };
         match self.write(jobs.iter().map(ended).collect()).await {
             Ok(()) => log::info!("{} cancelled jobs ended before they ran", jobs.len()),
@@ -478,17 +478,17 @@
 }
 
 /// Returns the final outcome that an end means, or `None` when the job waits again.
-fn outcome_of(end: &End, spec: &JobSpec, attempts: u16) -> Option<Final> {
+fn outcome_of(end: &End, spec: &JobSpec, attempts: u16) -> Option<JobOutcome> {
     match end {
-        End::Done => Some(Final::Done),
+        End::Done => Some(JobOutcome::Done),
         End::Failed(_) if spec.idempotent && attempts < ATTEMPTS => None,
-        End::Failed(reason) => Some(Final::Failed { reason: reason.clone() }),
+        End::Failed(reason) => Some(JobOutcome::Failed { reason: reason.clone() }),
         End::Stopped { may_have_run: false, cancelled: true, .. } => {
-            Some(Final::NotRun { reason: "cancelled".to_owned() })
+            Some(JobOutcome::NotRun { reason: "cancelled".to_owned() })
         }
-        End::Stopped { cancelled: true, .. } => Some(Final::Cancelled),
+        End::Stopped { cancelled: true, .. } => Some(JobOutcome::Cancelled),
         End::Stopped { may_have_run: true, .. } if !spec.idempotent => {
-            Some(Final::Unknown { reason: "it was stopped after it may have started".to_owned() })
+            Some(JobOutcome::Unknown { reason: "it was stopped after it may have started".to_owned() })
         }
         End::Stopped { .. } => None,
     }
--- a/crates/daemon/src/entry/follow.rs
+++ b/crates/daemon/src/entry/follow.rs
@@ -21,7 +21,7 @@
     pub(super) async fn follow_loop(self: Arc<Self>) {
         let mut snapshot_due = Instant::now();
         loop {
-            let from = lock(&self.ledger).fold.next;
+            let from = lock(&self.ledger).fold.next_offset;
             match self.log.read(from).await {
                 Ok(page) => {
                     self.take(from, page).await;
@@ -49,7 +49,7 @@
         let complete = {
             let mut ledger = lock(&self.ledger);
             fold_page(&mut ledger.fold, &page);
-            let complete = ledger.fold.next >= page.next;
+            let complete = ledger.fold.next_offset >= page.next;
             if complete {
                 ledger.known = true;
                 ledger.confirmed = Some(Instant::now());
@@ -75,7 +75,7 @@
         let mut ledger = lock(&self.ledger);
         let newest = pages.iter().flat_map(|page| &page.entries).rev().find_map(|row| {
             match serde_json::from_value(row.record.clone()) {
-                Ok(Record::Snapshot { fold }) if fold.next >= oldest => Some(fold),
+                Ok(Record::Snapshot { fold }) if fold.next_offset >= oldest => Some(fold),
                 _ => None,
             }
         });
@@ -83,26 +83,26 @@
             log::error!("records before {oldest} are gone and no snapshot covers them");
             return;
         };
-        ledger.fold.advance_to(&snapshot);
+        ledger.fold.replace_if_newer(&snapshot);
         for page in &pages {
             fold_page(&mut ledger.fold, page);
         }
         ledger.known = true;
         ledger.confirmed = Some(Instant::now());
-        log::info!("configuration restored from a snapshot, now at offset {}", ledger.fold.next);
+        log::info!("configuration restored from a snapshot, now at offset {}", ledger.fold.next_offset);
         drop(ledger);
         self.announce_advance();
     }
 
     fn announce_advance(&self) {
-        let next = lock(&self.ledger).fold.next;
+        let next = lock(&self.ledger).fold.next_offset;
         self.advanced.send_replace(next);
         self.wake.notify_one();
     }
 
     fn snapshot_if_due(self: &Arc<Self>) {
         let due = self.with_fold(|fold| {
-            let since = fold.next.saturating_sub(fold.snapshot);
+            let since = fold.next_offset.saturating_sub(fold.snapshot_offset);
             (since >= self.settings.log.snapshot_records).then(|| fold.clone())
         });
         if let Some(Some(fold)) = due
@@ -110,7 +110,7 @@
         {
             let entry = self.clone();
             tokio::spawn(async move {
-                let at = fold.next;
+                let at = fold.next_offset;
                 match entry.write(vec![Record::Snapshot { fold: Box::new(fold) }]).await {
                     Ok(()) => log::info!("snapshot up to offset {at} is on the log"),
                     Err(e) => log::warn!("snapshot up to offset {at} is not on the log: {e}"),
@@ -128,9 +128,9 @@
             let Ok(Some(bytes)) = call.await else { continue };
             let Ok(fold) = serde_json::from_slice::<Fold>(&bytes) else { continue };
             let mut ledger = lock(&self.ledger);
-            if ledger.fold.advance_to(&fold) || fold.next > 0 {
+            if ledger.fold.replace_if_newer(&fold) || fold.next_offset > 0 {
                 ledger.known = true;
-                log::info!("configuration up to offset {} taken over from {address}", fold.next);
+                log::info!("configuration up to offset {} taken over from {address}", fold.next_offset);
                 drop(ledger);
                 self.announce_advance();
                 return;
@@ -151,7 +151,7 @@
             }
             Err(e) => {
                 log::warn!("record {} is not ours: {e}", row.offset);
-                fold.skip(row.offset);
+                fold.skip_record(row.offset);
             }
         }
     }
--- a/crates/daemon/src/entry/operator.rs
+++ b/crates/daemon/src/entry/operator.rs
@@ -14,7 +14,7 @@
 use sorrelland_core::plan::Plan;
 use sorrelland_core::shape::{Amount, Shape};
 use sorrelland_core::topology::{Place, Standing};
-use sorrelland_ledger::{Command, CommandRecord, Record, Subject, Verdict};
+use sorrelland_ledger::{Command, CommandOutcome, CommandRecord, Record, Subject};
 use sorrelland_web::ApiError;
 
 use crate::entry::Entry;
@@ -135,7 +135,7 @@
     let age = entry.config_age_ms();
     let answer = entry.with_fold(|fold| ConfigAnswer {
         version: fold.version,
-        offset: fold.next,
+        offset: fold.next_offset,
         config_age_ms: age,
         accounts: fold.accounts.clone(),
         versions: fold.versions.iter().map(|(subject, v)| (subject.to_string(), *v)).collect(),
@@ -180,7 +180,7 @@
         let subject = command.subject();
         let base = base.or_else(|| self.with_fold(|fold| fold.version_of(&subject))).unwrap_or_default();
         let record = CommandRecord { id: id.to_owned(), base, operator: operator.to_owned(), command };
-        if self.with_fold(|fold| fold.verdict(id).is_some()) != Some(true) {
+        if self.with_fold(|fold| fold.command_outcome(id).is_some()) != Some(true) {
             self.write_commands(vec![record]).await?;
         }
         self.await_force(id).await;
@@ -191,8 +191,8 @@
     async fn await_force(&self, id: &str) {
         let deadline = Instant::now() + FORCE_WAIT;
         while Instant::now() < deadline {
-            let version = self.with_fold(|fold| match fold.verdict(id) {
-                Some(Verdict::Accepted { version }) => Some(*version),
+            let version = self.with_fold(|fold| match fold.command_outcome(id) {
+                Some(CommandOutcome::Accepted { version }) => Some(*version),
                 _ => None,
             });
             let Some(Some(version)) = version else { return };
@@ -293,12 +293,12 @@
 
     pub(super) fn command_answer(&self, id: &str) -> CommandAnswer {
         let id = id.to_owned();
-        let verdict = self.with_fold(|fold| fold.verdict(&id).cloned()).flatten();
+        let verdict = self.with_fold(|fold| fold.command_outcome(&id).cloned()).flatten();
         match verdict {
-            Some(Verdict::Accepted { version }) => {
+            Some(CommandOutcome::Accepted { version }) => {
                 CommandAnswer::Accepted { id, version, in_force: self.in_force(version) }
             }
-            Some(Verdict::Void { base, current }) => CommandAnswer::Void { id, base, current },
+            Some(CommandOutcome::Void { base, current }) => CommandAnswer::Void { id, base, current },
             None => CommandAnswer::NotKnownYet { ask: format!("GET /v1/commands/{id}"), id },
         }
     }
--- a/crates/daemon/src/entry/peers.rs
+++ b/crates/daemon/src/entry/peers.rs
@@ -128,7 +128,7 @@
         Ping {
             name: self.claimant.clone(),
             address: self.address.clone(),
-            offset: lock(&self.ledger).fold.next,
+            offset: lock(&self.ledger).fold.next_offset,
             leaving,
         }
     }
--- a/crates/daemon/src/entry/rows.rs
+++ b/crates/daemon/src/entry/rows.rs
@@ -6,7 +6,7 @@
 use sorrelland_core::shape::{Amount, Shape};
 use sorrelland_core::table::{Running, Tables};
 use sorrelland_lang::select::Row;
-use sorrelland_ledger::{Final, Fold, Job, Stage, Verdict};
+use sorrelland_ledger::{CommandOutcome, Fold, Job, JobOutcome, Stage};
 
 use crate::entry::burn::Burn;
 use crate::entry::fleet::Fleet;
@@ -92,11 +92,11 @@
     let (state, workers, reason) = match &job.stage {
         Stage::Waiting => ("waiting", String::new(), ""),
         Stage::Placed(placed) => ("running", names(placed.placement.keys()), ""),
-        Stage::Ended(Final::Done) => ("done", String::new(), ""),
-        Stage::Ended(Final::Cancelled) => ("cancelled", String::new(), ""),
-        Stage::Ended(Final::NotRun { reason }) => ("not_run", String::new(), reason.as_str()),
-        Stage::Ended(Final::Unknown { reason }) => ("unknown", String::new(), reason.as_str()),
-        Stage::Ended(Final::Failed { reason }) => ("failed", String::new(), reason.as_str()),
+        Stage::Ended(JobOutcome::Done) => ("done", String::new(), ""),
+        Stage::Ended(JobOutcome::Cancelled) => ("cancelled", String::new(), ""),
+        Stage::Ended(JobOutcome::NotRun { reason }) => ("not_run", String::new(), reason.as_str()),
+        Stage::Ended(JobOutcome::Unknown { reason }) => ("unknown", String::new(), reason.as_str()),
+        Stage::Ended(JobOutcome::Failed { reason }) => ("failed", String::new(), reason.as_str()),
     };
     let demand = &job.spec.demand;
     row([
@@ -107,7 +107,7 @@
         ("tasks", json!(demand.shape.tasks)),
         ("accelerators", json!(demand.shape.total().accelerators)),
         ("span", json!(demand.shape.span)),
-        ("age_ms", json!(now_ms.saturating_sub(job.at_ms))),
+        ("age_ms", json!(now_ms.saturating_sub(job.accepted_ms))),
         ("declared_ms", json!(demand.declared_ms)),
         ("workers", json!(workers)),
         ("entry", json!(job.claimant)),
@@ -219,9 +219,9 @@
 /// Returns the commands that the fold remembers.
 pub fn history(fold: &Fold) -> Vec<Row> {
     let rows = fold.history.iter().map(|known| {
-        let (verdict, version) = match &known.verdict {
-            Verdict::Accepted { version } => ("accepted", *version),
-            Verdict::Void { current, .. } => ("void", *current),
+        let (verdict, version) = match &known.outcome {
+            CommandOutcome::Accepted { version } => ("accepted", *version),
+            CommandOutcome::Void { current, .. } => ("void", *current),
         };
         row([
             ("offset", json!(known.offset)),
--- a/crates/daemon/src/entry/schedule.rs
+++ b/crates/daemon/src/entry/schedule.rs
@@ -7,7 +7,7 @@
 use sorrelland_core::policy::Millis;
 use sorrelland_core::table::{Class, Placement, Running, Tables, Waiting};
 use sorrelland_core::tick::{Action, Cause};
-use sorrelland_ledger::{Fold, JobSpec, Placed, Stage};
+use sorrelland_ledger::{Fold, JobSpec, RecordedAttempt, Stage};
 
 use crate::entry::attempt::Source;
 use crate::entry::burn::{Event, Objective};
@@ -103,7 +103,7 @@
                 Stage::Placed(placed) => Some((name.clone(), job.spec.clone(), placed.clone())),
                 _ => None,
             });
-            placed.collect::<Vec<(JobId, JobSpec, Placed)>>()
+            placed.collect::<Vec<(JobId, JobSpec, RecordedAttempt)>>()
         });
         for (job, spec, placed) in placed.unwrap_or_default() {
             let driver = Driver { running: None, rest_until_ms: None };
@@ -173,7 +173,7 @@
         let candidate = |(name, job): (&JobId, &sorrelland_ledger::Job)| {
             let source = Source::Logged { claim: job.claim, last_epoch: job.last_epoch };
             let candidate =
-                Candidate { spec: job.spec.clone(), since_ms: job.at_ms, done_ms: job.done_ms, source };
+                Candidate { spec: job.spec.clone(), since_ms: job.accepted_ms, done_ms: job.done_ms, source };
             (name.clone(), candidate)
         };
         waits.map(candidate).collect()
--- a/crates/ledger/src/fold.rs
+++ b/crates/ledger/src/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the log, the same for every reader.
+//! State derived by folding the log's records in order; it depends on nothing else, so all readers agree.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,91 +10,91 @@
 use sorrelland_core::plan::Plan;
 use sorrelland_lease::Epoch;
 
-use crate::job::{Final, Job, Placed, Stage};
+use crate::job::{Job, JobOutcome, RecordedAttempt, Stage};
 use crate::record::{Command, CommandRecord, Record, Subject};
 
-/// Verdicts on commands that the fold remembers.
-pub const VERDICTS_KEPT: usize = 2_048;
+/// Commands that the fold retains with their outcomes.
+pub const MAX_HISTORY_ROWS: usize = 2_048;
 
-/// Ended jobs that the fold remembers.
-pub const ENDED_KEPT: usize = 4_096;
+/// Ended jobs that the fold retains.
+pub const MAX_ENDED_JOBS: usize = 4_096;
 
-/// A record arrived whose offset is past the next one.
+/// A record was applied out of order: records before it are missing.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("log record {found} arrived where {expected} was expected")]
-pub struct Gap {
-    /// Offset that the fold needs next.
+pub struct OffsetGap {
+    /// Offset of the next record to apply.
     pub expected: u64,
-    /// Offset that arrived.
+    /// Offset of the record that was passed.
     pub found: u64,
 }
 
-/// What the fold decided on a command.
+/// Outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "verdict", rename_all = "snake_case")]
-pub enum Verdict {
-    /// The command is in the configuration.
+pub enum CommandOutcome {
+    /// The command was applied to the configuration.
     Accepted {
         /// Version of the configuration and of the subject.
         version: u64,
     },
-    /// The command changed nothing, because its subject had changed before.
+    /// The command was not applied: its subject had another version than `base`, or is an unknown job.
     Void {
-        /// Version that the command was written against.
+        /// Version that the command was based on.
         base: u64,
         /// Version that the subject had.
         current: u64,
     },
 }
 
-/// Whether a record had an effect.
+/// Effect of a record on the fold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// The record changed the state.
     Changed,
-    /// The record was void by the fold's rules.
+    /// The record had no effect: it repeats an earlier one, is out of date or does not fit the state.
     Void,
-    /// The record was folded before.
-    Old,
+    /// The record had been applied before.
+    AlreadyApplied,
 }
 
-/// A command in the history of the configuration.
+/// A command in the history of the configuration, with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct HistoryRow {
     /// Offset of the record.
     pub offset: u64,
-    /// The command.
     pub record: CommandRecord,
-    /// What was decided.
-    pub verdict: Verdict,
+    #[serde(rename = "verdict")]
+    pub outcome: CommandOutcome,
 }
 
-/// The state that follows from the records up to an offset.
+/// State that results from folding the records before `next_offset`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fold {
     /// Offset of the next record.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_offset: u64,
     /// Version of the configuration: one past the offset of the last accepted command.
     pub version: u64,
-    /// Client accounts.
     pub accounts: BTreeMap<AccountId, Account>,
-    /// Workers that take nothing new.
+    /// Workers that accept no new work.
     pub drained: BTreeSet<WorkerId>,
     /// Version of each subject: one past the offset of its last change.
     pub versions: BTreeMap<Subject, u64>,
-    /// The guarantee plan.
+    /// Guarantee plan in force.
     pub plan: Plan,
-    /// Version of the plan: one past its offset; 0 for none.
+    /// Version of the plan: one past its offset; 0 if there is none.
     pub plan_version: u64,
-    /// Jobs by name.
+    /// Jobs by name: all that have not ended, and the latest that have.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Ended jobs, the oldest first.
+    /// Ended jobs in `jobs`, in the order of their ends.
     pub ended: VecDeque<JobId>,
-    /// Addresses of entries by name.
+    /// Addresses of entries (`ip:port`) by name.
     pub entries: BTreeMap<String, String>,
     /// Offset of the newest snapshot.
-    pub snapshot: u64,
-    /// Commands and verdicts, the oldest first.
+    #[serde(rename = "snapshot")]
+    pub snapshot_offset: u64,
+    /// Latest commands with their outcomes, the oldest first.
     pub history: VecDeque<HistoryRow>,
 }
 
@@ -108,46 +108,46 @@
     ///
     /// # Errors
     ///
-    /// Returns the gap when records are missing in between; the fold is unchanged.
-    pub fn apply(&mut self, offset: u64, record: &Record) -> Result<Applied, Gap> {
-        if offset < self.next {
-            return Ok(Applied::Old);
+    /// Returns the expected offset when records before `offset` are missing; the fold is unchanged.
+    pub fn apply(&mut self, offset: u64, record: &Record) -> Result<ApplyOutcome, OffsetGap> {
+        if offset < self.next_offset {
+            return Ok(ApplyOutcome::AlreadyApplied);
         }
-        if offset > self.next {
-            return Err(Gap { expected: self.next, found: offset });
+        if offset > self.next_offset {
+            return Err(OffsetGap { expected: self.next_offset, found: offset });
         }
         let changed = self.apply_next(offset, record);
-        self.next = offset + 1;
-        Ok(if changed { Applied::Changed } else { Applied::Void })
+        self.next_offset = offset + 1;
+        Ok(if changed { ApplyOutcome::Changed } else { ApplyOutcome::Void })
     }
 
-    /// Skips a record that cannot be read; every reader skips it alike.
-    pub fn skip(&mut self, offset: u64) {
-        if offset == self.next {
-            self.next = offset + 1;
+    /// Skips a record that cannot be parsed; every reader skips it, so that their folds stay the same.
+    pub fn skip_record(&mut self, offset: u64) {
+        if offset == self.next_offset {
+            self.next_offset = offset + 1;
         }
     }
 
-    /// Takes over another fold if it is ahead of this one.
-    pub fn advance_to(&mut self, other: &Self) -> bool {
-        let ahead = other.next > self.next;
-        if ahead {
+    /// Replaces this fold with `other` if that one covers more records; returns whether it does.
+    pub fn replace_if_newer(&mut self, other: &Self) -> bool {
+        let newer = other.next_offset > self.next_offset;
+        if newer {
             *self = other.clone();
         }
-        ahead
+        newer
     }
 
-    /// Returns the version that agents have to put in force.
+    /// Returns the version of what agents need: the configuration and the plan.
     pub fn agent_version(&self) -> u64 {
         self.version.max(self.plan_version)
     }
 
-    /// Returns the verdict on a command, if the fold has seen and still remembers it.
-    pub fn verdict(&self, id: &str) -> Option<&Verdict> {
-        self.history.iter().rev().find(|row| row.record.id == id).map(|row| &row.verdict)
+    /// Returns the outcome of a command, if it was folded and is still retained.
+    pub fn command_outcome(&self, id: &str) -> Option<&CommandOutcome> {
+        self.history.iter().rev().find(|row| row.record.id == id).map(|row| &row.outcome)
     }
 
-    /// Returns the version of a subject; 0 if it never changed.
+    /// Returns the version of a subject; 0 if it has not changed. A job has version 1 once it is cancelled.
     pub fn version_of(&self, subject: &Subject) -> u64 {
         match subject {
             Subject::Job(job) => self.jobs.get(job).map_or(0, |job| u64::from(job.cancelled)),
@@ -157,15 +157,15 @@
 
     fn apply_next(&mut self, offset: u64, record: &Record) -> bool {
         match record {
-            Record::Command(command) => self.command(offset, command),
-            Record::Plan { base, plan } => self.plan(offset, *base, plan),
-            Record::Accepted { job, spec, at_ms } => {
+            Record::Command(command) => self.apply_command(offset, command),
+            Record::Plan { base, plan } => self.apply_plan(offset, *base, plan),
+            Record::Accepted { job, spec, accepted_ms } => {
                 if self.jobs.contains_key(job) {
                     return false;
                 }
-                let entity = Job {
+                let new_job = Job {
                     spec: spec.clone(),
-                    at_ms: *at_ms,
+                    accepted_ms: *accepted_ms,
                     claimant: None,
                     claim: 0,
                     cancelled: false,
@@ -173,56 +173,56 @@
                     last_epoch: Epoch::default(),
                     stage: Stage::Waiting,
                 };
-                self.jobs.insert(job.clone(), entity);
+                self.jobs.insert(job.clone(), new_job);
                 true
             }
-            Record::Claim { job, entry, base } => self.claim(offset, job, entry, *base),
+            Record::Claim { job, entry, base } => self.apply_claim(offset, job, entry, *base),
             Record::Placed { job, epoch, placement, commit_point } => {
-                let placed = Placed {
+                let placed = RecordedAttempt {
                     epoch: *epoch,
                     placement: placement.clone(),
                     commit_point: commit_point.clone(),
                 };
-                self.place(job, placed)
+                self.apply_placed(job, placed)
             }
-            Record::Requeued { job, epoch, done_ms } => self.requeue(job, *epoch, *done_ms),
-            Record::Ended { job, epoch, outcome } => self.end(job, *epoch, outcome),
+            Record::Requeued { job, epoch, done_ms } => self.apply_requeued(job, *epoch, *done_ms),
+            Record::Ended { job, epoch, outcome } => self.apply_ended(job, *epoch, outcome),
             Record::Entry { name, address } => {
                 self.entries.insert(name.clone(), address.clone()).as_ref() != Some(address)
             }
             Record::Snapshot { .. } => {
-                self.snapshot = offset;
+                self.snapshot_offset = offset;
                 true
             }
         }
     }
 
-    fn command(&mut self, offset: u64, record: &CommandRecord) -> bool {
-        if self.verdict(&record.id).is_some() {
+    fn apply_command(&mut self, offset: u64, record: &CommandRecord) -> bool {
+        if self.command_outcome(&record.id).is_some() {
             return false;
         }
         let subject = record.command.subject();
         let current = self.version_of(&subject);
-        let known = !matches!(&subject, Subject::Job(job) if !self.jobs.contains_key(job));
-        let accepted = record.base == current && known;
-        let verdict = if accepted {
-            self.change(&record.command);
+        let valid_subject = !matches!(&subject, Subject::Job(job) if !self.jobs.contains_key(job));
+        let accepted = record.base == current && valid_subject;
+        let outcome = if accepted {
+            self.apply_to_config(&record.command);
             self.version = offset + 1;
             if !matches!(subject, Subject::Job(_)) {
                 self.versions.insert(subject, offset + 1);
             }
-            Verdict::Accepted { version: offset + 1 }
+            CommandOutcome::Accepted { version: offset + 1 }
         } else {
-            Verdict::Void { base: record.base, current }
+            CommandOutcome::Void { base: record.base, current }
         };
-        self.history.push_back(HistoryRow { offset, record: record.clone(), verdict });
-        if self.history.len() > VERDICTS_KEPT {
+        self.history.push_back(HistoryRow { offset, record: record.clone(), outcome });
+        if self.history.len() > MAX_HISTORY_ROWS {
             self.history.pop_front();
         }
         accepted
     }
 
-    fn change(&mut self, command: &Command) {
+    fn apply_to_config(&mut self, command: &Command) {
         match command {
             Command::SetAccount { account, config } => {
                 self.accounts.insert(account.clone(), config.clone());
@@ -244,7 +244,7 @@
         }
     }
 
-    fn plan(&mut self, offset: u64, base: u64, plan: &Plan) -> bool {
+    fn apply_plan(&mut self, offset: u64, base: u64, plan: &Plan) -> bool {
         if base != self.plan_version {
             return false;
         }
@@ -253,7 +253,7 @@
         true
     }
 
-    fn claim(&mut self, offset: u64, job: &JobId, entry: &str, base: u64) -> bool {
+    fn apply_claim(&mut self, offset: u64, job: &JobId, entry: &str, base: u64) -> bool {
         let Some(job) = self.jobs.get_mut(job) else { return false };
         if job.claim != base || matches!(job.stage, Stage::Ended(_)) {
             return false;
@@ -263,7 +263,7 @@
         true
     }
 
-    fn place(&mut self, job: &JobId, placed: Placed) -> bool {
+    fn apply_placed(&mut self, job: &JobId, placed: RecordedAttempt) -> bool {
         let Some(job) = self.jobs.get_mut(job) else { return false };
         let current = placed.epoch.claim() == Some(job.claim) && placed.epoch > job.last_epoch;
         if !current || job.cancelled || job.stage != Stage::Waiting {
@@ -274,7 +274,7 @@
         true
     }
 
-    fn requeue(&mut self, job: &JobId, epoch: Epoch, done_ms: u64) -> bool {
+    fn apply_requeued(&mut self, job: &JobId, epoch: Epoch, done_ms: u64) -> bool {
         let Some(job) = self.jobs.get_mut(job) else { return false };
         match &job.stage {
             Stage::Placed(placed) if placed.epoch == epoch => {
@@ -286,7 +286,7 @@
         }
     }
 
-    fn end(&mut self, name: &JobId, epoch: Epoch, outcome: &Final) -> bool {
+    fn apply_ended(&mut self, name: &JobId, epoch: Epoch, outcome: &JobOutcome) -> bool {
         let Some(job) = self.jobs.get_mut(name) else { return false };
         let current = match &job.stage {
             Stage::Waiting => epoch == Epoch::default(),
@@ -298,7 +298,7 @@
         }
         job.stage = Stage::Ended(outcome.clone());
         self.ended.push_back(name.clone());
-        if self.ended.len() > ENDED_KEPT
+        if self.ended.len() > MAX_ENDED_JOBS
             && let Some(oldest) = self.ended.pop_front()
         {
             self.jobs.remove(&oldest);
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as the log knows them.
+//! Jobs as recorded in the log.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -7,16 +7,16 @@
 use sorrelland_core::table::{Demand, Placement};
 use sorrelland_lease::Epoch;
 
-/// What a caller submitted.
+/// Job as a caller submitted it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct JobSpec {
-    /// Resources, class and declared time.
+    /// Resources, class and declared run time.
     #[serde(flatten)]
     pub demand: Demand,
     /// Whether the job may be started again after a failure.
     #[serde(default = "default_idempotent")]
     pub idempotent: bool,
-    /// Work for the upstream; passed on as it is.
+    /// Work for the upstream, passed on unchanged.
     #[serde(default)]
     pub work: serde_json::Value,
 }
@@ -25,71 +25,71 @@
     true
 }
 
-/// The final outcome of a job.
+/// Final outcome of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
-pub enum Final {
+pub enum JobOutcome {
     /// Every task of the gang finished.
     Done,
-    /// The work truly did not run.
+    /// The work certainly did not run.
     NotRun {
-        /// Why.
+        /// Cause, for the caller.
         reason: String,
     },
     /// The work was stopped after it had started.
     Cancelled,
     /// The work may have run and will not be run again.
     Unknown {
-        /// Why.
+        /// Cause, for the caller.
         reason: String,
     },
     /// The work ran and failed.
     Failed {
-        /// Why.
+        /// Cause, for the caller.
         reason: String,
     },
 }
 
-/// A recorded attempt.
+/// Attempt whose placement is recorded in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct Placed {
-    /// The attempt.
+pub struct RecordedAttempt {
+    /// Epoch of the attempt.
     pub epoch: Epoch,
-    /// Tasks on each worker.
+    /// Number of tasks on each worker.
     pub placement: Placement,
-    /// Worker whose agent commits.
+    /// Worker whose agent is the commit point.
     pub commit_point: WorkerId,
 }
 
-/// How far a job has come.
+/// Stage of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "stage", rename_all = "snake_case")]
 pub enum Stage {
-    /// The job waits for its gang.
+    /// The job waits to be placed.
     Waiting,
-    /// An attempt holds its workers; it may run.
-    Placed(Placed),
+    /// An attempt holds its workers; the tasks may be running.
+    Placed(RecordedAttempt),
     /// The job has its final outcome.
-    Ended(Final),
+    Ended(JobOutcome),
 }
 
-/// A job as the log knows it.
+/// Job as recorded in the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Job {
-    /// What was asked for.
+    /// Job as submitted.
     pub spec: JobSpec,
-    /// When it was accepted, in milliseconds since 1970.
-    pub at_ms: Millis,
-    /// Entry in charge.
+    /// Wall-clock time of the acceptance, in milliseconds since 1970.
+    #[serde(rename = "at_ms")]
+    pub accepted_ms: Millis,
+    /// Entry that claimed the job and places it.
     pub claimant: Option<String>,
-    /// Offset of the claim; 0 for none.
+    /// Log offset of the latest claim; 0 if there is none.
     pub claim: u64,
-    /// Whether an operator or caller asked to cancel it.
+    /// Whether its cancellation was requested.
     pub cancelled: bool,
-    /// Run time that checkpoints kept, in milliseconds.
+    /// Run time saved by checkpoints, in milliseconds.
     pub done_ms: Millis,
-    /// The greatest epoch recorded.
+    /// Greatest epoch recorded for the job.
     pub last_epoch: Epoch,
-    /// How far it has come.
     pub stage: Stage,
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,9 +1,9 @@
-//! What lasts: records of the platform's log and the fold that every process makes of them.
+//! Records of the platform's log, and the state that every reader derives by folding them.
 
 pub mod fold;
 pub mod job;
 pub mod record;
 
-pub use fold::{Applied, Fold, Gap, Verdict};
-pub use job::{Final, Job, JobSpec, Placed, Stage};
+pub use fold::{ApplyOutcome, CommandOutcome, Fold, OffsetGap};
+pub use job::{Job, JobOutcome, JobSpec, RecordedAttempt, Stage};
 pub use record::{Command, CommandRecord, Record, Subject};
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -11,19 +11,16 @@
 use sorrelland_lease::Epoch;
 
 use crate::fold::Fold;
-use crate::job::{Final, JobSpec};
+use crate::job::{JobOutcome, JobSpec};
 
-/// What a command changes; each subject has a version of its own.
+/// Object that a command changes; each has a version of its own.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(into = "String", try_from = "String")]
 pub enum Subject {
-    /// A client account.
     #[display("account:{_0}")]
     Account(AccountId),
-    /// A worker.
     #[display("worker:{_0}")]
     Worker(WorkerId),
-    /// A job.
     #[display("job:{_0}")]
     Job(JobId),
 }
@@ -42,46 +39,40 @@
             Some(("account", name)) => Ok(Self::Account(name.into())),
             Some(("worker", name)) => Ok(Self::Worker(name.into())),
             Some(("job", name)) => Ok(Self::Job(name.into())),
-            _ => Err(format!("subject {text:?} is not account:, worker: or job: and a name")),
+            _ => Err(format!("subject {text:?} must be account:NAME, worker:NAME or job:NAME")),
         }
     }
 }
 
-/// A change that an operator asks for.
+/// Change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "do", rename_all = "snake_case")]
 pub enum Command {
     /// Creates or replaces a client account.
     SetAccount {
-        /// Name of the account.
         account: AccountId,
-        /// Its whole configuration.
+        /// Complete configuration of the account.
         config: Account,
     },
     /// Removes a client account.
     RemoveAccount {
-        /// Name of the account.
         account: AccountId,
     },
-    /// Stops new work on a worker.
+    /// Stops the placement of new work on a worker.
     Drain {
-        /// Name of the worker.
         worker: WorkerId,
     },
-    /// Lets a worker take work again.
+    /// Allows the placement of work on a worker again.
     Undrain {
-        /// Name of the worker.
         worker: WorkerId,
     },
-    /// Cancels a job.
     Cancel {
-        /// Name of the job.
         job: JobId,
     },
 }
 
 impl Command {
-    /// Returns what the command changes.
+    /// Returns the object that the command changes.
     pub fn subject(&self) -> Subject {
         match self {
             Self::SetAccount { account, .. } | Self::RemoveAccount { account } => {
@@ -93,89 +84,82 @@
     }
 }
 
-/// A command with its identity and the version it was written against.
+/// Command with a unique name and the version of its subject that it was based on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct CommandRecord {
-    /// Unique name of the command, chosen by whoever sends it.
+    /// Unique name of the command, chosen by the sender; a command that is sent again keeps it and is applied once.
     pub id: String,
-    /// Version of the subject that the sender saw; 0 for one that does not exist.
+    /// Version of the subject that the command is based on; 0 for one that does not exist.
     pub base: u64,
-    /// Operator who sent it.
+    /// Name of the operator who sent it.
     pub operator: String,
-    /// The change.
     pub command: Command,
 }
 
-/// One record of the log.
+/// Record of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Record {
-    /// An operator's command.
+    /// Command of an operator.
     Command(CommandRecord),
-    /// A guarantee plan, valid only on top of the plan at version `base`.
+    /// New guarantee plan, ignored unless the current plan has version `base`.
     Plan {
         /// Version of the plan it replaces.
         base: u64,
-        /// The new plan.
         plan: Plan,
     },
-    /// A job that was accepted from a caller.
+    /// A job was accepted from a caller.
     Accepted {
-        /// Name of the job.
         job: JobId,
-        /// What was asked for.
+        /// Job as submitted.
         spec: JobSpec,
         /// Wall-clock time of the acceptance, in milliseconds since 1970.
-        at_ms: Millis,
+        #[serde(rename = "at_ms")]
+        accepted_ms: Millis,
     },
-    /// An entry takes charge of a job, valid only on top of the claim at version `base`.
+    /// An entry claims a job; ignored unless the current claim has offset `base`.
     Claim {
-        /// Name of the job.
         job: JobId,
-        /// Name of the entry.
+        /// Name of the claiming entry.
         entry: String,
-        /// Offset of the claim it replaces; 0 for none.
+        /// Log offset of the claim that it replaces; 0 if there is none.
         base: u64,
     },
     /// A gang holds its workers and is about to be committed.
     Placed {
-        /// Name of the job.
         job: JobId,
-        /// Attempt that holds.
+        /// Epoch of the attempt.
         epoch: Epoch,
-        /// Tasks on each worker.
+        /// Number of tasks on each worker.
         placement: Placement,
-        /// Worker whose agent commits.
+        /// Worker whose agent is the commit point.
         commit_point: WorkerId,
     },
     /// An attempt was stopped and the job waits again.
     Requeued {
-        /// Name of the job.
         job: JobId,
-        /// Attempt that stopped.
+        /// Epoch of the stopped attempt.
         epoch: Epoch,
-        /// Run time that a checkpoint keeps, in milliseconds.
+        /// Run time saved by checkpoints, in milliseconds.
         done_ms: Millis,
     },
     /// A job reached its final outcome.
     Ended {
-        /// Name of the job.
         job: JobId,
-        /// Attempt that ended; the default if it never started.
+        /// Epoch of the attempt that ended; the default epoch if the job was not placed.
         epoch: Epoch,
-        /// The outcome.
-        outcome: Final,
+        outcome: JobOutcome,
     },
-    /// An entry tells its address.
+    /// An entry announces its address.
     Entry {
         /// Name of the entry.
         name: String,
         /// Address for the other processes of the system, as `ip:port`.
         address: String,
     },
-    /// The whole fold up to an offset, so that older records may be dropped.
+    /// Complete fold up to an offset, so that older records may be deleted.
     Snapshot {
-        /// The fold; its own offset tells up to where.
+        /// Covers the records before its `next_offset`.
         fold: Box<Fold>,
     },
 }
--- a/crates/spec/src/fold.rs
+++ b/crates/spec/src/fold.rs
@@ -2,7 +2,7 @@
 
 use sorrelland_core::account::Account;
 use sorrelland_core::id::AccountId;
-use sorrelland_ledger::{Command, CommandRecord, Fold, Record, Verdict};
+use sorrelland_ledger::{Command, CommandOutcome, CommandRecord, Fold, Record};
 
 use crate::check::Model;
 
@@ -99,7 +99,7 @@
 
     fn violated(&self, state: &State) -> Option<&'static str> {
         let [a, b] = state.readers.map(|reader| self.fold(state, &reader));
-        if a.next == b.next && a != b {
+        if a.next_offset == b.next_offset && a != b {
             return Some("folds at the same offset agree");
         }
         let full = self.fold(state, &Reader { from: 0, next: state.log.len() });
@@ -119,13 +119,13 @@
 
 fn accepted(fold: &Fold, offset: u64) -> bool {
     let row = fold.history.iter().find(|row| row.offset == offset);
-    row.is_some_and(|row| matches!(row.verdict, Verdict::Accepted { .. }))
+    row.is_some_and(|row| matches!(row.outcome, CommandOutcome::Accepted { .. }))
 }
 
 impl Config {
     fn fold(&self, state: &State, reader: &Reader) -> Fold {
         let mut fold = Fold::new();
-        fold.next = reader.from as u64;
+        fold.next_offset = reader.from as u64;
         for (offset, sent) in state.log.iter().enumerate().take(reader.next).skip(reader.from) {
             let record = self.record(sent, &fold);
             fold.apply(offset as u64, &record).expect("records are folded in order");
