--- a/crates/daemon/src/agent/worker.rs
+++ b/crates/daemon/src/agent/worker.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use sorrelland_core::shape::Amount;
-use sorrelland_web::client::{Client, Error, Reply, Result};
+use sorrelland_web::client::{Client, Error, HttpResponse, Result};
 
 /// Time for one control call to the worker.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -161,13 +161,13 @@
     /// # Errors
     ///
     /// Returns why there is no whole answer.
-    pub async fn request(&self, body: Bytes, timeout: Duration) -> Result<Reply> {
+    pub async fn request(&self, body: Bytes, timeout: Duration) -> Result<HttpResponse> {
         let client = self.client.clone().with_timeout(timeout);
         client.send(Method::POST, &format!("{}/v1/requests", self.url), &[], body).await
     }
 }
 
-fn accept(reply: Reply) -> Result<()> {
+fn accept(reply: HttpResponse) -> Result<()> {
     if reply.status.is_success() {
         return Ok(());
     }
--- a/crates/daemon/src/entry/api.rs
+++ b/crates/daemon/src/entry/api.rs
@@ -411,10 +411,10 @@
         .and_then(|()| api.register(get_metrics))
         .and_then(|()| operator::register(&mut api));
     registered.expect("paths are registered once");
-    server::refuse_other_methods(&mut api, "/v1/keys", &[Method::POST]);
-    server::refuse_other_methods(&mut api, "/v1/requests", &[Method::POST]);
-    server::refuse_other_methods(&mut api, "/v1/jobs", &[Method::POST]);
-    server::refuse_other_methods(&mut api, "/v1/jobs/{name}", &[Method::GET, Method::DELETE]);
+    server::reject_other_methods(&mut api, "/v1/keys", &[Method::POST]);
+    server::reject_other_methods(&mut api, "/v1/requests", &[Method::POST]);
+    server::reject_other_methods(&mut api, "/v1/jobs", &[Method::POST]);
+    server::reject_other_methods(&mut api, "/v1/jobs/{name}", &[Method::GET, Method::DELETE]);
     let (http, limit) = (entry.settings.daemon.http, entry.settings.entry.body_limit_bytes);
     server::start(api, entry, http, limit)
 }
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -1,4 +1,4 @@
-//! A pooled HTTP client for JSON.
+//! HTTP client for JSON with a connection pool.
 
 use std::time::Duration;
 
@@ -14,69 +14,65 @@
 /// Result of a call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Bytes of an answer at most.
-pub const ANSWER_LIMIT_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum size of a response body.
+pub const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a call has no usable answer.
+/// Why a call has no usable response.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
     /// The request could not be built.
-    #[display("bad request: {_0}")]
+    #[display("cannot build the request: {_0}")]
     Request(http::Error),
     /// No connection could be made, so the request was not sent.
     #[display("cannot connect: {_0}")]
     #[from(skip)]
     Connect(hyper_util::client::legacy::Error),
-    /// The exchange broke after the request may have been sent.
-    #[display("exchange broke: {_0}")]
+    /// The exchange failed after the request may have been sent.
+    #[display("exchange failed after the request may have been sent: {_0}")]
     #[from(skip)]
     Exchange(hyper_util::client::legacy::Error),
-    /// The answer's body could not be read.
-    #[display("answer broke: {_0}")]
+    /// The response body could not be read or is longer than [`MAX_RESPONSE_BYTES`].
+    #[display("cannot read the response body: {_0}")]
     #[from(skip)]
     Body(#[error(not(source))] String),
-    /// No answer came in time.
-    #[display("no answer within {} ms", _0.as_millis())]
+    /// No response arrived in time.
+    #[display("no response within {} ms", _0.as_millis())]
     #[from(skip)]
     Timeout(#[error(not(source))] Duration),
-    /// The answer was not the expected JSON.
-    #[display("answer is not as expected: {_0}")]
+    /// The request could not be written as JSON, or the response is not the expected JSON.
+    #[display("unexpected JSON: {_0}")]
     Json(serde_json::Error),
-    /// The answer was an error.
+    /// The response has an error status.
     #[display("{status}: {body}")]
     #[from(skip)]
     Status {
-        /// Status of the answer.
         status: StatusCode,
-        /// Body of the answer as text.
+        /// Body as text.
         body: String,
     },
 }
 
 impl Error {
-    /// Returns whether the request certainly never reached the server.
+    /// Returns whether the request certainly did not reach the server.
     pub fn never_sent(&self) -> bool {
         matches!(self, Self::Request(_) | Self::Connect(_))
     }
 }
 
-/// An answer with its status and headers.
+/// Complete response.
 #[derive(Debug)]
-pub struct Reply {
-    /// Status of the answer.
+pub struct HttpResponse {
     pub status: StatusCode,
-    /// Headers of the answer.
     pub headers: http::HeaderMap,
-    /// Whole body of the answer.
     pub body: Bytes,
 }
 
-impl Reply {
-    /// Parses the body of a successful answer as JSON.
+impl HttpResponse {
+    /// Parses the body of a successful response as JSON.
     ///
     /// # Errors
     ///
-    /// Returns the status and body of an error answer, or why the JSON is not as expected.
+    /// Returns the status and body of an error response, or why the body is not the expected JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T> {
         if !self.status.is_success() {
             let body = String::from_utf8_lossy(&self.body).into_owned();
@@ -86,7 +82,7 @@
     }
 }
 
-/// A client with a pool of connections.
+/// HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>,
@@ -95,7 +91,7 @@
 }
 
 impl Client {
-    /// Creates a client that waits at most `timeout` for an answer.
+    /// Creates a client that waits at most `timeout` for a connection and for a whole response.
     pub fn new(timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -106,30 +102,30 @@
         Self { inner, timeout, bearer: None }
     }
 
-    /// Returns the client with a bearer key on every request; an unusable key is left out.
+    /// Sets the bearer key of every request; a key that is no valid header value is ignored.
     pub fn with_bearer(mut self, key: &str) -> Self {
         self.bearer = HeaderValue::from_str(&format!("Bearer {key}")).ok();
         self
     }
 
-    /// Returns the client with another timeout.
+    /// Sets the time-out of a whole response; that of a connection stays.
     pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Sends a request and returns the whole answer, whatever its status.
+    /// Sends a request and returns the whole response, whatever its status.
     ///
     /// # Errors
     ///
-    /// Returns why there is no whole answer.
+    /// Returns why there is no whole response.
     pub async fn send(
         &self,
         method: Method,
         url: &str,
         headers: &[(HeaderName, HeaderValue)],
         body: Bytes,
-    ) -> Result<Reply> {
+    ) -> Result<HttpResponse> {
         let mut request = Request::builder().method(method).uri(url);
         if let Some(bearer) = &self.bearer {
             request = request.header(http::header::AUTHORIZATION, bearer);
@@ -146,31 +142,31 @@
             .unwrap_or(Err(Error::Timeout(self.timeout)))
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Reply> {
-        let answer = self.inner.request(request).await.map_err(|e| match e.is_connect() {
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<HttpResponse> {
+        let response = self.inner.request(request).await.map_err(|e| match e.is_connect() {
             true => Error::Connect(e),
             false => Error::Exchange(e),
         })?;
-        let (head, body) = answer.into_parts();
-        let body = Limited::new(body, ANSWER_LIMIT_BYTES).collect().await;
+        let (head, body) = response.into_parts();
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
         let body = body.map_err(|e| Error::Body(e.to_string()))?.to_bytes();
-        Ok(Reply { status: head.status, headers: head.headers, body })
+        Ok(HttpResponse { status: head.status, headers: head.headers, body })
     }
 
-    /// Gets JSON.
+    /// Sends a GET request and returns the JSON response.
     ///
     /// # Errors
     ///
-    /// Returns why there is no such answer.
+    /// Returns why there is no successful JSON response.
     pub async fn get<T: DeserializeOwned>(&self, url: &str) -> Result<T> {
         self.send(Method::GET, url, &[], Bytes::new()).await?.json()
     }
 
-    /// Sends JSON and returns the JSON answer.
+    /// Sends a JSON request and returns the JSON response.
     ///
     /// # Errors
     ///
-    /// Returns why there is no such answer.
+    /// Returns why there is no successful JSON response.
     pub async fn call<T: DeserializeOwned>(
         &self,
         method: Method,
--- a/crates/web/src/error.rs
+++ b/crates/web/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that HTTP callers get, each with a typed code.
+//! Error responses of the HTTP servers, each with a typed code.
 
 use std::fmt;
 
@@ -6,14 +6,14 @@
 use schemars::JsonSchema;
 use serde::Serialize;
 
-/// An error answer with a code for machines and a message for people.
+/// Error response with a code for programs and a message for people.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 pub struct ApiError {
-    /// Code for machines.
+    /// Code for programs.
     pub error_code: String,
-    /// What was wrong.
+    /// Cause, for people.
     pub message: String,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
     #[serde(skip)]
@@ -26,13 +26,13 @@
         Self { error_code: code.to_owned(), message: message.to_string(), retry_after_ms: None, status }
     }
 
-    /// Returns the error with the time after which to come back.
+    /// Sets the time after which to retry.
     pub fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// Returns the status.
+    /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
         self.status
     }
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP as every program of the system uses it: a pooled client, a server and typed errors.
+//! HTTP for all programs of the system: a pooled client, a server and typed errors.
 
 pub mod client;
 pub mod error;
 pub mod server;
 
-pub use client::{Client, Reply};
+pub use client::{Client, HttpResponse};
 pub use error::ApiError;
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -1,4 +1,4 @@
-//! Starting an HTTP server.
+//! Start of an HTTP server.
 
 use std::net::SocketAddr;
 
@@ -15,11 +15,11 @@
 /// Result of starting a server.
 pub type Result<T> = std::result::Result<T, dropshot::BuildError>;
 
-/// Starts a server whose handlers run to their end even when the caller goes away.
+/// Starts a server whose handlers run to completion even when the caller disconnects.
 ///
 /// # Errors
 ///
-/// Returns why the address could not be bound.
+/// Returns why the server could not be built, for example because the address is in use.
 pub fn start<C: ServerContext>(
     api: ApiDescription<C>,
     context: C,
@@ -36,43 +36,43 @@
     ServerBuilder::new(api, context, log).config(config).start()
 }
 
-const METHODS: [Method; 4] = [Method::GET, Method::POST, Method::PUT, Method::DELETE];
+const KNOWN_METHODS: [Method; 4] = [Method::GET, Method::POST, Method::PUT, Method::DELETE];
 
-/// The one parameter that a path may have.
+/// Path parameter of [`reject_method_on_name`].
 #[derive(Deserialize, JsonSchema)]
 struct NamePath {
     #[serde(rename = "name")]
     _name: String,
 }
 
-/// Answers every method other than `allowed` on `path` with a typed error; the path may hold `{name}`.
+/// Responds to GET, POST, PUT and DELETE, unless `allowed` has them, with a typed error; `path` may have `{name}`.
 ///
 /// # Panics
 ///
-/// Panics if the path was registered with one of the other methods before.
-pub fn refuse_other_methods<C: ServerContext>(api: &mut ApiDescription<C>, path: &str, allowed: &[Method]) {
-    for method in METHODS.iter().filter(|method| !allowed.contains(method)) {
+/// Panics if the path was registered with one of the rejected methods before.
+pub fn reject_other_methods<C: ServerContext>(api: &mut ApiDescription<C>, path: &str, allowed: &[Method]) {
+    for method in KNOWN_METHODS.iter().filter(|method| !allowed.contains(method)) {
         let name = format!("refuse {method} {path}");
         let (json, all) = ("application/json", ApiEndpointVersions::All);
         let method = method.clone();
         let endpoint = match path.contains("{name}") {
-            true => ApiEndpoint::new(name, refuse_named::<C>, method, json, path, all),
-            false => ApiEndpoint::new(name, refuse::<C>, method, json, path, all),
+            true => ApiEndpoint::new(name, reject_method_on_name::<C>, method, json, path, all),
+            false => ApiEndpoint::new(name, reject_method::<C>, method, json, path, all),
         };
-        api.register(endpoint.visible(false)).expect("paths and methods are registered once");
+        api.register(endpoint.visible(false)).expect("each path and method is registered once");
     }
 }
 
-async fn refuse<C: ServerContext>(
+async fn reject_method<C: ServerContext>(
     cx: RequestContext<C>,
 ) -> std::result::Result<dropshot::HttpResponseOk<()>, ApiError> {
-    let message = format!("{} is not possible here", cx.request.method());
+    let message = format!("method {} is not allowed on this path", cx.request.method());
     Err(ApiError::new(405, "method_not_allowed", message))
 }
 
-async fn refuse_named<C: ServerContext>(
+async fn reject_method_on_name<C: ServerContext>(
     cx: RequestContext<C>,
     _path: Path<NamePath>,
 ) -> std::result::Result<dropshot::HttpResponseOk<()>, ApiError> {
-    refuse(cx).await
+    reject_method(cx).await
 }
