--- a/crates/conf/src/finding.rs
+++ b/crates/conf/src/finding.rs
@@ -1,28 +1,26 @@
-//! What is wrong with a settings file, each with its place.
+//! Problems of a settings file, with their locations.
 
 use derive_more::{Display, Error};
 
-/// One thing that is wrong, with its place.
+/// Problem of a settings file, with its location.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{file}:{line}: [{section}] {key}: {message}")]
 pub struct Finding {
-    /// File that was read.
+    /// Name of the settings file.
     pub file: String,
-    /// Line of the key or section; 0 if it is missing.
+    /// Line of the key, else of its section; 0 if both are missing.
     pub line: usize,
-    /// Section.
     pub section: String,
-    /// Key; empty for a whole section.
+    /// Key; empty if the finding is about the section.
     pub key: String,
-    /// What is wrong and what was expected.
+    /// The problem, and what was expected.
     pub message: String,
 }
 
-/// Everything that is wrong with a file, in order of place.
+/// All problems of a settings file.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{}", lines(findings))]
 pub struct Findings {
-    /// The findings.
     pub findings: Vec<Finding>,
 }
 
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed settings from INI files, with every finding reported together.
+//! Typed settings from INI files; all problems of a file are reported together.
 
 pub mod finding;
 pub mod reader;
--- a/crates/conf/tests/settings.rs
+++ b/crates/conf/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: examples are in order, and every finding is reported with its place.
+//! Settings: the example files are valid, and every finding is reported with its location.
 
 use std::path::Path;
 
