--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -8,7 +8,7 @@
 use sorrelland_fleet::orders::Orders;
 use sorrelland_fleet::report::Report;
 use sorrelland_fleet::view::Query;
-use sorrelland_wire::connect::{CallError, Connect, Pool, open, within};
+use sorrelland_wire::connect::{CallError, Connect, Pool, call_context, connect_authenticated};
 use tarpc::client::{Config, RpcError};
 use tarpc::serde_transport;
 use tarpc::tokio_serde::formats::Bincode;
@@ -118,7 +118,7 @@
 
 impl Connect for PlanRpcClient {
     async fn connect(address: &str, key: &str) -> io::Result<Self> {
-        let transport = serde_transport::new(open(address, key).await?, Bincode::default());
+        let transport = serde_transport::new(connect_authenticated(address, key).await?, Bincode::default());
         Ok(Self::new(Config::default(), transport).spawn())
     }
 }
@@ -140,12 +140,12 @@
 where
     F: Future<Output = Result<T, RpcError>>,
 {
-    let cx = within(timeout);
+    let cx = call_context(timeout);
     let result = tokio::time::timeout(timeout, links.call(address, |client| make(client, cx))).await;
     match result {
-        Ok(Err(CallError::Broken(RpcError::DeadlineExceeded))) | Err(_) => {
-            links.forget(address);
-            Err(CallError::Broken(RpcError::DeadlineExceeded))
+        Ok(Err(CallError::Rpc(RpcError::DeadlineExceeded))) | Err(_) => {
+            links.discard(address);
+            Err(CallError::Rpc(RpcError::DeadlineExceeded))
         }
         Ok(result) => result,
     }
--- a/crates/daemon/src/agent/authority.rs
+++ b/crates/daemon/src/agent/authority.rs
@@ -37,7 +37,7 @@
 impl Grant {
     /// Returns the resources held.
     pub fn held(&self) -> Amount {
-        self.reserve.each.times(self.reserve.tasks)
+        self.reserve.per_task.times(self.reserve.tasks)
     }
 
     /// Returns the names of its tasks on the worker.
@@ -141,7 +141,7 @@
         if self.is_draining() {
             return refused(ReserveReply::Draining);
         }
-        let need = r.each.times(r.tasks);
+        let need = r.per_task.times(r.tasks);
         let shares = self.shares();
         let ledger = self.ledger(&shares);
         let free = self.free_for(&r.job, now_ms);
@@ -197,7 +197,7 @@
         ledger: &Ledger,
         now_ms: Millis,
     ) -> (ReserveReply, Vec<JobId>) {
-        let need = r.each.times(r.tasks);
+        let need = r.per_task.times(r.tasks);
         let staying: Vec<Share> =
             shares.iter().filter(|s| self.grants[&s.job].yield_ms.is_none()).cloned().collect();
         let mut vacated = self.capacity;
@@ -278,7 +278,7 @@
             ever_committed: self.commit.ever_committed(job),
             failed: remembered.and_then(|r| r.failed.clone()),
             hold: self.member.holds().get(job).map(|hold| (hold.epoch, hold.phase)),
-            least_epoch: self.member.least_epoch(job),
+            min_unfenced_epoch: self.member.least_epoch(job),
             done_ms: remembered.map_or(0, |r| r.done_ms),
         }
     }
--- a/crates/daemon/src/agent/beat.rs
+++ b/crates/daemon/src/agent/beat.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use sorrelland_core::policy::Millis;
-use sorrelland_wire::connect::within;
-use sorrelland_wire::entry::{Beat, BeatReply, Report, ShareReport};
+use sorrelland_wire::connect::call_context;
+use sorrelland_wire::entry::{Heartbeat, HeartbeatReply, Report, ShareReport};
 
 use crate::agent::Agent;
 use crate::sync::lock;
@@ -57,7 +57,7 @@
         due
     }
 
-    fn answered(&mut self, address: &str, reply: &BeatReply, now_ms: Millis) {
+    fn answered(&mut self, address: &str, reply: &HeartbeatReply, now_ms: Millis) {
         for entry in &reply.entries {
             self.rows.entry(entry.clone()).or_default();
         }
@@ -96,8 +96,9 @@
 
     async fn send_beat(&self, address: &str, with_report: bool) {
         let beat = self.beat(with_report);
-        let call =
-            self.entries.call(address, |entry| async move { entry.beat(within(BEAT_TIMEOUT), beat).await });
+        let call = self
+            .entries
+            .call(address, |entry| async move { entry.heartbeat(call_context(BEAT_TIMEOUT), beat).await });
         let answer = call.await;
         let now_ms = self.now_ms();
         match answer {
@@ -115,7 +116,7 @@
         }
     }
 
-    fn beat(&self, with_report: bool) -> Beat {
+    fn beat(&self, with_report: bool) -> Heartbeat {
         let now_ms = self.now_ms();
         let authority = lock(&self.authority);
         let shares = || {
@@ -123,7 +124,7 @@
                 job: grant.reserve.job.clone(),
                 epoch: grant.reserve.epoch,
                 account: grant.reserve.account.clone(),
-                each: grant.reserve.each,
+                per_task: grant.reserve.per_task,
                 tasks: grant.reserve.tasks,
                 class: grant.reserve.class,
                 preemptible: grant.reserve.preemptible,
@@ -144,7 +145,7 @@
             window: self.shorts.window(),
             shares: shares(),
         });
-        Beat {
+        Heartbeat {
             worker: self.worker_id.clone(),
             incarnation: self.incarnation,
             report_number: authority.report_number,
--- a/crates/daemon/src/agent/gang.rs
+++ b/crates/daemon/src/agent/gang.rs
@@ -7,7 +7,7 @@
 use sorrelland_core::policy::Millis;
 use sorrelland_lease::{Epoch, Phase, Verdict};
 use sorrelland_wire::agent::{AgentConfig, Renew, Reserve, ReserveReply};
-use sorrelland_wire::connect::within;
+use sorrelland_wire::connect::call_context;
 
 use crate::agent::Agent;
 use crate::agent::authority::Grant;
@@ -151,8 +151,9 @@
             members.iter().find(|member| member.worker == point)?.address.clone()
         };
         let renew = renew.clone();
-        let call =
-            self.peers.call(&address, |peer| async move { peer.renew(within(RENEW_TIMEOUT), renew).await });
+        let call = self
+            .peers
+            .call(&address, |peer| async move { peer.renew(call_context(RENEW_TIMEOUT), renew).await });
         match call.await {
             Ok(verdict) => Some(verdict),
             Err(e) => {
@@ -171,7 +172,7 @@
                 task,
                 job: job.as_str().to_owned(),
                 epoch: epoch.0,
-                accelerators: grant.reserve.each.accelerators,
+                accelerators: grant.reserve.per_task.accelerators,
                 lease_ms: lease_end_ms.saturating_sub(self.now_ms()),
                 done_ms: grant.reserve.done_ms,
                 work: serde_json::Value::clone(&work),
@@ -272,9 +273,9 @@
         let address = grant.reserve.members.iter().find(|m| m.worker == *point).map(|m| m.address.clone());
         if let Some(address) = address.filter(|_| *point != self.worker_id) {
             let job = job.clone();
-            let call = self
-                .peers
-                .call(&address, |peer| async move { peer.stop(within(RENEW_TIMEOUT), job, epoch).await });
+            let call = self.peers.call(&address, |peer| async move {
+                peer.stop(call_context(RENEW_TIMEOUT), job, epoch).await
+            });
             if let Err(e) = call.await {
                 log::debug!("commit point at {address} learns of the yield by its lease: {e}");
             }
--- a/crates/daemon/src/agent/short.rs
+++ b/crates/daemon/src/agent/short.rs
@@ -136,7 +136,7 @@
 
     /// Waits for the outcome of a request that came earlier under the same key.
     async fn await_other(&self, exec: &Exec, key: &Key) -> Outcome {
-        let deadline = Instant::now() + Duration::from_millis(exec.left_ms);
+        let deadline = Instant::now() + Duration::from_millis(exec.remaining_ms);
         loop {
             let ended = self.shorts.ended.notified();
             let begun = lock(&self.shorts.keys).begin(key);
@@ -154,7 +154,7 @@
         if let Some(reason) = self.closed(exec) {
             return Outcome::NotRun { reason, retry_ms: RETRY_MS };
         }
-        let place = match self.shorts.enter(exec.left_ms) {
+        let place = match self.shorts.enter(exec.remaining_ms) {
             Ok(place) => place,
             Err(outcome) => return outcome,
         };
@@ -184,7 +184,7 @@
         let body: serde_json::Value = serde_json::from_slice(&exec.body).unwrap_or_default();
         let key = exec.key.as_ref().map(Key::to_string).unwrap_or_default();
         let call = json!({ "request": exec.request, "account": exec.account, "key": key, "body": body });
-        let timeout = Duration::from_millis(exec.left_ms);
+        let timeout = Duration::from_millis(exec.remaining_ms);
         match self.worker.request(Bytes::from(call.to_string()), timeout).await {
             Ok(reply) if reply.status.as_u16() == 503 => {
                 Outcome::NotRun { reason: NotRun::Busy, retry_ms: RETRY_MS }
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -10,7 +10,7 @@
 use sorrelland_lease::{Epoch, GangState};
 use sorrelland_ledger::{Final, JobSpec, Placed, Record, Stage};
 use sorrelland_wire::agent::{GangStatus, Peer, Reserve, ReserveReply};
-use sorrelland_wire::connect::within;
+use sorrelland_wire::connect::call_context;
 use tokio::sync::oneshot;
 
 use crate::entry::Entry;
@@ -195,7 +195,7 @@
                 epoch: gang.epoch,
                 incarnation: self.agent_life(&member.worker),
                 account: spec.demand.account.clone(),
-                each: spec.demand.shape.each(),
+                per_task: spec.demand.shape.each(),
                 tasks: placement[&member.worker],
                 class: spec.demand.class,
                 preemptible: spec.demand.preemptible && spec.idempotent,
@@ -218,7 +218,7 @@
         loop {
             let asked = reserve.clone();
             let call = self.agents.call(&member.address, |agent| async move {
-                agent.reserve(within(CALL_TIMEOUT), asked).await
+                agent.reserve(call_context(CALL_TIMEOUT), asked).await
             });
             match call.await {
                 Ok(ReserveReply::Held) => return true,
@@ -277,7 +277,7 @@
         while Instant::now() < deadline {
             let (job, epoch) = (gang.job.clone(), gang.epoch);
             let call = self.agents.call(&gang.commit_point.address, |agent| async move {
-                agent.commit(within(CALL_TIMEOUT), job, epoch).await
+                agent.commit(call_context(CALL_TIMEOUT), job, epoch).await
             });
             match call.await {
                 Ok(Some(GangState::Committed | GangState::Done)) => return true,
@@ -340,8 +340,9 @@
             return None;
         }
         let job = gang.job.clone();
-        let call =
-            self.agents.call(&address, |agent| async move { agent.status(within(CALL_TIMEOUT), job).await });
+        let call = self
+            .agents
+            .call(&address, |agent| async move { agent.status(call_context(CALL_TIMEOUT), job).await });
         call.await.ok()
     }
 
@@ -388,9 +389,9 @@
         let stops = gang.members.iter().map(|member| async move {
             let (job, epoch) = (gang.job.clone(), gang.epoch);
             let address = self.agent_address(&member.worker);
-            let call = self
-                .agents
-                .call(&address, |agent| async move { agent.stop(within(CALL_TIMEOUT), job, epoch).await });
+            let call = self.agents.call(&address, |agent| async move {
+                agent.stop(call_context(CALL_TIMEOUT), job, epoch).await
+            });
             Some((member.worker.clone(), call.await.ok()?))
         });
         futures::future::join_all(stops).await.into_iter().flatten().collect()
--- a/crates/daemon/src/entry/fleet.rs
+++ b/crates/daemon/src/entry/fleet.rs
@@ -11,7 +11,7 @@
 use sorrelland_core::table::{Demand, Running};
 use sorrelland_core::topology::{Standing, Worker};
 use sorrelland_lease::Phase;
-use sorrelland_wire::entry::{Beat, Report};
+use sorrelland_wire::entry::{Heartbeat, Report};
 
 /// Bytes that one heartbeat costs an entry on the wire, both ways, headers included.
 pub const BEAT_BYTES: u64 = 330;
@@ -82,7 +82,7 @@
     }
 
     /// Takes a heartbeat; returns the number of the report that the table has now.
-    pub fn take(&mut self, beat: Beat) -> u64 {
+    pub fn take(&mut self, beat: Heartbeat) -> u64 {
         let now = Instant::now();
         let known = self.rows.get_mut(&beat.worker);
         let same_life = known.as_ref().is_some_and(|row| row.incarnation == beat.incarnation);
@@ -190,7 +190,7 @@
                     Running {
                         demand: Demand {
                             account: share.account.clone(),
-                            shape: Shape::new(0, share.each.accelerators, Span::Region),
+                            shape: Shape::new(0, share.per_task.accelerators, Span::Region),
                             class: share.class,
                             declared_ms: share.age_ms,
                             preemptible: share.preemptible,
--- a/crates/daemon/src/entry/follow.rs
+++ b/crates/daemon/src/entry/follow.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use sorrelland_ledger::{Fold, Record};
-use sorrelland_wire::connect::within;
+use sorrelland_wire::connect::call_context;
 
 use crate::entry::Entry;
 use crate::log_client::Page;
@@ -123,8 +123,9 @@
     async fn ask_peers_for_fold(&self) {
         let addresses = lock(&self.peers).addresses();
         for address in addresses {
-            let call =
-                self.entries.call(&address, |peer| async move { peer.fold(within(PEER_TIMEOUT)).await });
+            let call = self
+                .entries
+                .call(&address, |peer| async move { peer.fold(call_context(PEER_TIMEOUT)).await });
             let Ok(Some(bytes)) = call.await else { continue };
             let Ok(fold) = serde_json::from_slice::<Fold>(&bytes) else { continue };
             let mut ledger = lock(&self.ledger);
--- a/crates/daemon/src/entry/peers.rs
+++ b/crates/daemon/src/entry/peers.rs
@@ -7,7 +7,7 @@
 
 use sorrelland_core::id::JobId;
 use sorrelland_ledger::{Record, Stage};
-use sorrelland_wire::connect::within;
+use sorrelland_wire::connect::call_context;
 use sorrelland_wire::entry::Ping;
 
 use crate::entry::Entry;
@@ -135,8 +135,9 @@
 
     async fn ping(&self, address: &str) {
         let ping = self.own_ping(self.stop.is_raised());
-        let call =
-            self.entries.call(address, |peer| async move { peer.ping(within(PING_TIMEOUT), ping).await });
+        let call = self
+            .entries
+            .call(address, |peer| async move { peer.ping(call_context(PING_TIMEOUT), ping).await });
         match call.await {
             Ok(pong) => lock(&self.peers).take(&pong),
             Err(e) => log::trace!("entry at {address} does not answer: {e}"),
@@ -147,8 +148,9 @@
         let addresses = lock(&self.peers).addresses();
         for address in addresses.iter().filter(|address| **address != self.address) {
             let ping = self.own_ping(true);
-            let call =
-                self.entries.call(address, |peer| async move { peer.ping(within(PING_TIMEOUT), ping).await });
+            let call = self
+                .entries
+                .call(address, |peer| async move { peer.ping(call_context(PING_TIMEOUT), ping).await });
             if let Err(e) = call.await {
                 log::debug!("entry at {address} learns of the stop by silence: {e}");
             }
--- a/crates/daemon/src/entry/rows.rs
+++ b/crates/daemon/src/entry/rows.rs
@@ -139,7 +139,7 @@
         let report = &known.report;
         let mut held = Amount::default();
         for share in &report.shares {
-            held += share.each.times(share.tasks);
+            held += share.per_task.times(share.tasks);
         }
         row([
             ("worker", json!(id)),
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -5,8 +5,8 @@
 
 use sorrelland_core::id::WorkerId;
 use sorrelland_wire::agent::AgentConfig;
-use sorrelland_wire::connect::{self, within};
-use sorrelland_wire::entry::{Beat, BeatReply, EntryRpc, Ping};
+use sorrelland_wire::connect::{self, call_context};
+use sorrelland_wire::entry::{EntryRpc, Heartbeat, HeartbeatReply, Ping};
 use tarpc::context::Context;
 use tokio::net::TcpListener;
 
@@ -23,7 +23,7 @@
 struct Service(Arc<Entry>);
 
 impl EntryRpc for Service {
-    async fn beat(self, _: Context, beat: Beat) -> BeatReply {
+    async fn heartbeat(self, _: Context, beat: Heartbeat) -> HeartbeatReply {
         self.0.take_beat(beat)
     }
 
@@ -47,7 +47,7 @@
         .await;
     }
 
-    fn take_beat(&self, beat: Beat) -> BeatReply {
+    fn take_beat(&self, beat: Heartbeat) -> HeartbeatReply {
         self.metrics.beat();
         let asks = beat.report.is_some();
         let (worker, offset) = (beat.worker.clone(), beat.offset);
@@ -61,7 +61,7 @@
         let behind = self.with_fold(|fold| fold.agent_version() + 1 > offset) == Some(true);
         let config = if behind { self.agent_config(&worker) } else { None };
         let entries = if asks { self.entry_addresses() } else { Vec::new() };
-        BeatReply { report_number, next_ms: next_ms as u32, config, entries }
+        HeartbeatReply { report_number, next_ms: next_ms as u32, config, entries }
     }
 
     fn entry_addresses(&self) -> Vec<String> {
@@ -112,9 +112,9 @@
     }
 
     async fn push(&self, worker: &WorkerId, address: &str, config: AgentConfig) {
-        let call = self
-            .agents
-            .call(address, |agent| async move { agent.configure(within(CONFIGURE_TIMEOUT), config).await });
+        let call = self.agents.call(address, |agent| async move {
+            agent.configure(call_context(CONFIGURE_TIMEOUT), config).await
+        });
         match call.await {
             Ok(offset) => lock(&self.fleet).configured(worker, offset),
             Err(e) => log::debug!("agent at {address} gets the configuration with its next beat: {e}"),
--- a/crates/daemon/src/entry/short.rs
+++ b/crates/daemon/src/entry/short.rs
@@ -7,7 +7,7 @@
 use sorrelland_core::route::{NotRun, admit, pick};
 use sorrelland_lease::Key;
 use sorrelland_wire::agent::{Exec, ExecReply, Outcome};
-use sorrelland_wire::connect::{CallError, within};
+use sorrelland_wire::connect::{CallError, call_context};
 
 use crate::entry::Entry;
 use crate::entry::answer::{Answer, RequestBody};
@@ -197,13 +197,13 @@
             account: call.account.clone(),
             key: call.key.clone(),
             body: call.body.clone(),
-            left_ms,
+            remaining_ms: left_ms,
         };
         let timeout = Duration::from_millis(left_ms);
         lock(&self.fleet).enter(worker);
         let result = self
             .agents
-            .call(address, |agent| async move { agent.execute(within(timeout), exec).await })
+            .call(address, |agent| async move { agent.execute(call_context(timeout), exec).await })
             .await;
         let mut fleet = lock(&self.fleet);
         fleet.exit(worker);
--- a/crates/load/src/agents.rs
+++ b/crates/load/src/agents.rs
@@ -9,8 +9,8 @@
 use sorrelland_core::topology::Place;
 use sorrelland_lease::Window;
 use sorrelland_wire::EntryRpcClient;
-use sorrelland_wire::connect::{Connect, within};
-use sorrelland_wire::entry::{Beat, Report};
+use sorrelland_wire::connect::{Connect, call_context};
+use sorrelland_wire::entry::{Heartbeat, Report};
 
 use crate::args::Args;
 use crate::usage;
@@ -70,7 +70,7 @@
     let mut known = 0;
     let mut offset = 0;
     loop {
-        let beat = Beat {
+        let beat = Heartbeat {
             worker: worker.clone(),
             incarnation: 1,
             report_number: 1,
@@ -79,7 +79,7 @@
             offset,
             report: (known == 0).then(|| report.clone()),
         };
-        let Ok(reply) = client.beat(within(TIMEOUT), beat).await else { return };
+        let Ok(reply) = client.heartbeat(call_context(TIMEOUT), beat).await else { return };
         beats.fetch_add(1, Ordering::Relaxed);
         known = reply.report_number;
         offset = reply.config.map_or(offset, |config| config.offset);
--- a/crates/wire/src/agent.rs
+++ b/crates/wire/src/agent.rs
@@ -1,4 +1,4 @@
-//! What entries and other agents ask an agent.
+//! RPC interface of an agent, called by entries and other agents.
 
 use std::collections::BTreeMap;
 
@@ -11,150 +11,142 @@
 use sorrelland_core::tick::Cause;
 use sorrelland_lease::{Epoch, GangState, Key, Phase, Refusal, Verdict};
 
-/// A short request handed to an agent.
+/// Call that runs a short request on the agent's upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Exec {
-    /// Identity of the request; the answer carries it back.
+    /// Request ID; the reply carries the same one.
     pub request: String,
-    /// Account on whose behalf it runs.
+    /// Account on whose behalf the request runs.
     pub account: AccountId,
     /// Idempotency key; present for every non-idempotent request.
     pub key: Option<Key>,
     /// Body for the upstream.
     pub body: Vec<u8>,
-    /// Time left until the caller's deadline, in milliseconds.
-    pub left_ms: Millis,
+    /// Time until the caller's deadline, in milliseconds.
+    #[serde(rename = "left_ms")]
+    pub remaining_ms: Millis,
 }
 
-/// An agent's answer to a short request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExecReply {
-    /// Identity of the request.
+    /// ID of the request that this reply belongs to.
     pub request: String,
-    /// What became of it.
     pub outcome: Outcome,
 }
 
-/// What became of a short request.
+/// Result of a short request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The upstream's whole answer.
+    /// The upstream answered completely.
     Done {
-        /// HTTP status of the upstream.
+        /// HTTP status from the upstream.
         status: u16,
-        /// Body of the upstream.
+        /// Response body from the upstream.
         body: Vec<u8>,
     },
-    /// The work truly did not run and will not run under this key.
+    /// The request did not run and will not run under this key.
     NotRun {
-        /// Why.
         reason: NotRun,
-        /// When to come back, in milliseconds.
+        /// Time after which to retry, in milliseconds.
         retry_ms: Millis,
     },
-    /// The work may have run and will not be run again.
-    Unknown {
-        /// Why.
-        reason: String,
-    },
+    /// The request may have run and will not be run again.
+    Unknown { reason: String },
 }
 
-/// A member of a gang and where its agent listens.
+/// Member of a gang.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Name of the worker.
     pub worker: WorkerId,
-    /// Address of its agent, as `ip:port`.
+    /// Address of the worker's agent, as `ip:port`.
     pub address: String,
 }
 
-/// Asks an agent to hold slots for one epoch of a job.
+/// Call that reserves slots on an agent for one epoch of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reserve {
-    /// Name of the job.
     pub job: JobId,
-    /// Attempt.
+    /// Attempt of the job.
     pub epoch: Epoch,
-    /// Life of the agent that is meant; a later life refuses, for it has forgotten what it fenced.
+    /// Expected incarnation of the agent; a later one refuses the call, since it has lost the fenced epochs.
     pub incarnation: u64,
-    /// Account of the job.
     pub account: AccountId,
-    /// What one task takes.
-    pub each: Amount,
-    /// Tasks on this worker.
+    /// Resources of one task.
+    #[serde(rename = "each")]
+    pub per_task: Amount,
+    /// Number of tasks on this worker.
     pub tasks: u32,
     /// Urgency.
     pub class: Class,
-    /// Whether the tasks may be checkpointed or stopped and run again.
+    /// Whether the tasks may be checkpointed or stopped, and run again.
     pub preemptible: bool,
-    /// Why others may have to yield; `None` takes free room only.
+    /// Why other gangs may have to yield; with `None` only free capacity is used.
     pub cause: Option<Cause>,
-    /// All members, in order of name.
+    /// All members, sorted by name.
     pub members: Vec<Peer>,
-    /// Worker whose agent commits.
+    /// Worker whose agent commits the gang.
     pub commit_point: WorkerId,
-    /// Time without a word of the claimant after which the gang stops, in milliseconds.
+    /// Time without a call from the claimant after which the gang stops, in milliseconds.
     pub claim_lease_ms: Millis,
     /// Work for the upstream, as JSON text.
     pub work: String,
-    /// Run time that earlier attempts kept, in milliseconds.
+    /// Run time preserved from earlier attempts, in milliseconds.
     pub done_ms: Millis,
 }
 
-/// An agent's answer to a reservation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReserveReply {
     /// The slots are held.
     Held,
-    /// Others are yielding; ask again.
+    /// Other gangs are yielding; the caller should retry.
     Yielding {
-        /// Longest time until the room is free, in milliseconds.
+        /// Longest time until the resources are free, in milliseconds.
         within_ms: Millis,
     },
-    /// The epoch may not hold.
+    /// The epoch may not hold the slots.
     Refused(Refusal),
-    /// There is no room; the amount that is free tells the truth.
+    /// Not enough resources are free.
     Busy {
-        /// Free amount.
+        /// Resources that are free now.
         free: Amount,
     },
-    /// The reservation was meant for an earlier life of the agent.
+    /// The reservation was for an earlier incarnation of the agent.
     OtherLife,
-    /// The agent takes nothing new.
+    /// The agent accepts no new work.
     Draining,
-    /// The agent knows no configuration.
+    /// The agent has no configuration yet.
     NoConfig,
 }
 
-/// A member's renewal at its commit point.
+/// Renewal of a member's hold at its commit point.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renew {
-    /// Name of the job.
     pub job: JobId,
-    /// Attempt.
+    /// Attempt of the job.
     pub epoch: Epoch,
-    /// Member that renews.
+    /// Member whose hold is renewed.
     pub member: WorkerId,
-    /// Whether its tasks ended by themselves.
+    /// Whether the member's tasks ended by themselves.
     pub finished: bool,
-    /// Why its tasks failed, if they did.
+    /// Why the member's tasks failed, if they did.
     pub failed: Option<String>,
 }
 
-/// What an agent knows about a job.
+/// State of a job on an agent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GangStatus {
-    /// Latest epoch and state at this commit point.
+    /// Latest epoch and its state, if this agent is the commit point.
     pub gang: Option<(Epoch, GangState)>,
-    /// Whether that gang ever went past the barrier.
+    /// Whether that gang has ever passed the barrier.
     pub ever_committed: bool,
     /// Why the gang failed.
     pub failed: Option<String>,
     /// Epoch and phase that this agent holds as a member.
     pub hold: Option<(Epoch, Phase)>,
-    /// Least epoch that this agent has not fenced.
-    pub least_epoch: Epoch,
-    /// Run time that a checkpoint kept, in milliseconds.
+    /// Lowest epoch that this agent has not fenced.
+    #[serde(rename = "least_epoch")]
+    pub min_unfenced_epoch: Epoch,
+    /// Run time preserved by a checkpoint, in milliseconds.
     pub done_ms: Millis,
 }
 
@@ -165,27 +157,26 @@
     pub offset: u64,
     /// Whether the worker is drained.
     pub drained: bool,
-    /// Accounts that take no new work.
+    /// Accounts that may start no new work.
     pub paused: Vec<AccountId>,
     /// Backing of each account on this worker.
     pub backing: BTreeMap<AccountId, Amount>,
 }
 
-/// The service of an agent.
 #[tarpc::service]
 pub trait AgentRpc {
     /// Runs a short request on the upstream.
     async fn execute(exec: Exec) -> ExecReply;
-    /// Holds slots for a gang.
+    /// Reserves slots for a gang.
     async fn reserve(reserve: Reserve) -> ReserveReply;
     /// Asks the commit point to commit.
     async fn commit(job: JobId, epoch: Epoch) -> Option<GangState>;
     /// Renews a member's hold at the commit point.
     async fn renew(renew: Renew) -> Verdict;
-    /// Fences an epoch and everything before it.
+    /// Fences an epoch and all earlier ones.
     async fn stop(job: JobId, epoch: Epoch) -> GangStatus;
-    /// Tells what the agent knows about a job; counts as a word of the claimant.
+    /// Returns the state of a job; the call renews the claimant's lease on it.
     async fn status(job: JobId) -> GangStatus;
-    /// Puts a configuration in force; returns the offset in force.
+    /// Applies a configuration; returns the version in force.
     async fn configure(config: AgentConfig) -> u64;
 }
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connections between processes: the handshake, then remote calls.
+//! Authenticated RPC connections between processes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,19 +19,18 @@
 
 use crate::agent::AgentRpcClient;
 use crate::entry::EntryRpcClient;
-use crate::handshake::{End, prove};
+use crate::handshake::{Role, authenticate};
 
-/// Bytes of one message at most.
 pub const MESSAGE_LIMIT_BYTES: usize = 32 * 1024 * 1024;
 
-/// Time to make a connection.
+/// Limits the TCP connect only; the handshake has its own time-out.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Connections that a listener serves at a time.
+/// Connections per listener; further ones are closed on accept.
 pub const CONNECTION_LIMIT: usize = 4_096;
 
-/// Returns a call context with a deadline.
-pub fn within(timeout: Duration) -> context::Context {
+/// Returns the context of a call whose deadline is `timeout` from now.
+pub fn call_context(timeout: Duration) -> context::Context {
     let mut cx = context::current();
     cx.deadline = Instant::now() + timeout;
     cx
@@ -41,128 +40,132 @@
     LengthDelimitedCodec::builder().max_frame_length(MESSAGE_LIMIT_BYTES).new_codec()
 }
 
-/// Serves calls on a listener until the task is dropped; `run` executes each call on a task of its own.
-pub async fn serve<Req, Resp, F>(listener: TcpListener, key: Arc<str>, run: F)
+/// Accepts connections and passes each call to `handle_call`, until the future is dropped.
+///
+/// `handle_call` should spawn a task for each call, since the calls of a connection are dispatched one by one.
+pub async fn serve<Req, Resp, F>(listener: TcpListener, key: Arc<str>, handle_call: F)
 where
     Req: RequestName + DeserializeOwned + Send + 'static,
     Resp: Serialize + Send + 'static,
     F: Fn(InFlightRequest<Req, Resp>) + Clone + Send + Sync + 'static,
 {
-    let slots = Arc::new(Semaphore::new(CONNECTION_LIMIT));
+    let connection_slots = Arc::new(Semaphore::new(CONNECTION_LIMIT));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors or the like: leave the others time to end.
+            // For example out of file descriptors: retry once other connections may have closed.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let Ok(permit) = slots.clone().try_acquire_owned() else { continue };
-        let (key, run) = (key.clone(), run.clone());
+        let Ok(permit) = connection_slots.clone().try_acquire_owned() else { continue };
+        let (key, handle_call) = (key.clone(), handle_call.clone());
         tokio::spawn(async move {
             let _permit = permit;
-            // A peer that does not know the key or goes away ends its own connection only.
-            let _ = serve_one(stream, &key, run).await;
+            // A failed handshake or a disconnect affects only this connection.
+            let _ = serve_connection(stream, &key, handle_call).await;
         });
     }
 }
 
-async fn serve_one<Req, Resp, F>(mut stream: TcpStream, key: &str, run: F) -> io::Result<()>
+async fn serve_connection<Req, Resp, F>(mut stream: TcpStream, key: &str, handle_call: F) -> io::Result<()>
 where
     Req: RequestName + DeserializeOwned + Send + 'static,
     Resp: Serialize + Send + 'static,
     F: Fn(InFlightRequest<Req, Resp>) + Send + Sync,
 {
     stream.set_nodelay(true)?;
-    prove(&mut stream, key, End::Server).await?;
+    authenticate(&mut stream, key, Role::Server).await?;
     let transport = serde_transport::new(Framed::new(stream, codec()), Bincode::default());
     let mut calls = std::pin::pin!(BaseChannel::with_defaults(transport).requests());
     while let Some(Ok(call)) = calls.next().await {
-        run(call);
+        handle_call(call);
     }
     Ok(())
 }
 
-/// Connects to `address`, proves `key`, and returns the framed connection.
+/// Connects to `address` and authenticates both ends by the shared `key`.
 ///
 /// # Errors
 ///
-/// Returns why no connection could be made.
-pub async fn open(address: &str, key: &str) -> io::Result<Framed<TcpStream, LengthDelimitedCodec>> {
+/// Fails if the address is malformed, the connection is refused or times out, or the handshake fails.
+pub async fn connect_authenticated(
+    address: &str,
+    key: &str,
+) -> io::Result<Framed<TcpStream, LengthDelimitedCodec>> {
     let address: SocketAddr = address
         .parse()
         .map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, format!("{address}: {e}")))?;
     let mut stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
-    prove(&mut stream, key, End::Client).await?;
+    authenticate(&mut stream, key, Role::Client).await?;
     Ok(Framed::new(stream, codec()))
 }
 
-/// A kind of client that can be made from a connection.
+/// An RPC client that can be created for an address.
 pub trait Connect: Clone + Send + Sync + 'static {
-    /// Connects to `address`, proving `key`.
+    /// Connects to `address`, authenticating with `key`.
     fn connect(address: &str, key: &str) -> impl Future<Output = io::Result<Self>> + Send;
 }
 
 impl Connect for AgentRpcClient {
     async fn connect(address: &str, key: &str) -> io::Result<Self> {
-        let transport = serde_transport::new(open(address, key).await?, Bincode::default());
+        let transport = serde_transport::new(connect_authenticated(address, key).await?, Bincode::default());
         Ok(Self::new(Config::default(), transport).spawn())
     }
 }
 
 impl Connect for EntryRpcClient {
     async fn connect(address: &str, key: &str) -> io::Result<Self> {
-        let transport = serde_transport::new(open(address, key).await?, Bincode::default());
+        let transport = serde_transport::new(connect_authenticated(address, key).await?, Bincode::default());
         Ok(Self::new(Config::default(), transport).spawn())
     }
 }
 
-/// A client once it is made; the lock keeps two callers from connecting at the same time.
-type Place<C> = Arc<tokio::sync::Mutex<Option<C>>>;
+/// The client of one address, if connected; the lock keeps two callers from connecting at the same time.
+type ClientSlot<C> = Arc<tokio::sync::Mutex<Option<C>>>;
 
-/// One connection for each address, made on first use and again after it broke.
+/// Pool with one connection per address, made on first use and again after it has failed.
 #[derive(Clone)]
 pub struct Pool<C> {
     key: Arc<str>,
-    clients: Arc<Mutex<BTreeMap<String, Place<C>>>>,
+    clients: Arc<Mutex<BTreeMap<String, ClientSlot<C>>>>,
 }
 
 impl<C: Connect> Pool<C> {
-    /// Creates an empty pool.
     pub fn new(key: &str) -> Self {
         Self { key: key.into(), clients: Arc::default() }
     }
 
-    /// Returns a client for `address`.
+    /// Returns the client for `address`, connecting first if needed.
     ///
     /// # Errors
     ///
-    /// Returns why no connection could be made.
+    /// Fails if the connection or the handshake fails.
     pub async fn get(&self, address: &str) -> io::Result<C> {
-        let place = {
+        let slot = {
             let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
             clients.entry(address.to_owned()).or_default().clone()
         };
-        let mut client = place.lock().await;
+        let mut client = slot.lock().await;
         match &*client {
             Some(client) => Ok(client.clone()),
             None => {
-                let made = C::connect(address, &self.key).await?;
-                *client = Some(made.clone());
-                Ok(made)
+                let connected = C::connect(address, &self.key).await?;
+                *client = Some(connected.clone());
+                Ok(connected)
             }
         }
     }
 
-    /// Drops the connection to `address`, so that the next use makes a new one.
-    pub fn forget(&self, address: &str) {
+    /// Removes the connection to `address` from the pool, so that the next use makes a new one.
+    pub fn discard(&self, address: &str) {
         self.clients.lock().unwrap_or_else(PoisonError::into_inner).remove(address);
     }
 
-    /// Makes one call over the connection to `address` and forgets the connection when it broke.
+    /// Makes one call to `address`. Discards the connection if the call fails other than by its deadline.
     ///
     /// # Errors
     ///
-    /// Returns whether the call was never sent or may have been delivered.
+    /// The error tells whether the call was never sent or may have been delivered.
     pub async fn call<T, F>(&self, address: &str, call: impl FnOnce(C) -> F) -> Result<T, CallError>
     where
         F: Future<Output = Result<T, RpcError>>,
@@ -171,20 +174,20 @@
         let result = call(client).await;
         result.map_err(|e| {
             if !matches!(e, RpcError::DeadlineExceeded) {
-                self.forget(address);
+                self.discard(address);
             }
-            CallError::Broken(e)
+            CallError::Rpc(e)
         })
     }
 }
 
-/// Why a call has no answer.
+/// Why a call has no reply.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 pub enum CallError {
-    /// No connection could be made: the call was never sent.
+    /// No connection could be made, so the call was never sent.
     #[display("cannot connect: {_0}")]
     Connect(io::Error),
     /// The call may have been delivered.
-    #[display("call broke: {_0}")]
-    Broken(RpcError),
+    #[display("call failed: {_0}")]
+    Rpc(RpcError),
 }
--- a/crates/wire/src/entry.rs
+++ b/crates/wire/src/entry.rs
@@ -1,4 +1,4 @@
-//! What agents and other entries ask an entry.
+//! RPC interface of an entry, called by agents and other entries.
 
 use serde::{Deserialize, Serialize};
 use sorrelland_core::id::{AccountId, JobId, WorkerId};
@@ -10,98 +10,93 @@
 
 use crate::agent::AgentConfig;
 
-/// One gang's share of a worker, as its agent reports it.
+/// Tasks of one gang on a worker, as reported by the worker's agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareReport {
-    /// Name of the job.
     pub job: JobId,
-    /// Attempt.
+    /// Attempt of the job.
     pub epoch: Epoch,
-    /// Account of the job.
     pub account: AccountId,
-    /// What one task takes.
-    pub each: Amount,
-    /// Tasks on the worker.
+    /// Resources of one task.
+    #[serde(rename = "each")]
+    pub per_task: Amount,
+    /// Number of tasks on the worker.
     pub tasks: u32,
     /// Urgency.
     pub class: Class,
-    /// Whether the tasks may yield.
+    /// Whether the tasks may be preempted.
     pub preemptible: bool,
-    /// How far the hold has come.
+    /// State of the gang's hold on the worker.
     pub phase: Phase,
     /// Time since the hold began, in milliseconds.
     pub age_ms: Millis,
 }
 
-/// The slowly changing part of what an agent tells.
+/// State of an agent that changes rarely, and so is sent only when it has changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Place of the worker.
+    /// Location of the worker.
     pub place: Place,
     /// Address of the agent, as `ip:port`.
     pub address: String,
-    /// Slots and accelerators in all.
+    /// Total slots and accelerators.
     pub capacity: Amount,
-    /// Whether the agent takes nothing new.
+    /// Whether the agent accepts no new work.
     pub draining: bool,
-    /// Window in which keys of this home are minted.
+    /// Window in which this agent issues idempotency keys.
     pub window: Window,
     /// Gangs on the worker.
     pub shares: Vec<ShareReport>,
 }
 
-/// An agent's heartbeat; the report is present only when it changed since the entry last had it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
-    /// Name of the worker.
+pub struct Heartbeat {
     pub worker: WorkerId,
-    /// Life of the agent; each start of the process has its own.
+    /// Incarnation of the agent; each start of the process has a new one.
     pub incarnation: u64,
-    /// Number of the report within that life.
+    /// Number of the current report within the incarnation.
     pub report_number: u64,
     /// Short requests in flight.
     pub in_flight: u32,
     /// Mean service time of short requests, in microseconds.
     pub service_us: u32,
-    /// Offset of the configuration in force.
+    /// Version of the configuration in force; 0 for none.
     pub offset: u64,
-    /// The report, if the entry lacks it.
+    /// Present only if the entry has not yet acknowledged the current report.
     pub report: Option<Report>,
 }
 
-/// An entry's answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BeatReply {
+pub struct HeartbeatReply {
     /// Number of the report that the entry has; 0 for none.
     pub report_number: u64,
-    /// Time until the next beat to this entry, in milliseconds.
+    /// Time until the next heartbeat to this entry, in milliseconds.
     pub next_ms: u32,
-    /// Configuration, if the agent's is older.
+    /// Configuration for the agent, if the agent's own is older.
     pub config: Option<AgentConfig>,
-    /// Addresses of all entries that this one knows, if the agent asked with a report.
+    /// Addresses of all known entries; empty unless the heartbeat carried a report.
     pub entries: Vec<String>,
 }
 
-/// One entry's word to another.
+/// State that two entries exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ping {
     /// Name of the sender.
     pub name: String,
     /// Address of the sender, as `ip:port`.
     pub address: String,
-    /// Offset up to which the sender has folded the log.
+    /// Log offset up to which the sender has applied the records.
     pub offset: u64,
-    /// Whether the sender is leaving.
+    /// Whether the sender is shutting down.
     pub leaving: bool,
 }
 
-/// The service of an entry.
 #[tarpc::service]
 pub trait EntryRpc {
-    /// Takes an agent's heartbeat.
-    async fn beat(beat: Beat) -> BeatReply;
-    /// Takes another entry's word and answers with its own.
+    /// Records an agent's heartbeat.
+    async fn heartbeat(heartbeat: Heartbeat) -> HeartbeatReply;
+    /// Records another entry's state and returns the own state.
     async fn ping(ping: Ping) -> Ping;
-    /// Returns the fold of the log as JSON, if there is one.
+    /// Returns the state folded from the log, as JSON; `None` while the entry has none.
     async fn fold() -> Option<Vec<u8>>;
 }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,4 +1,4 @@
-//! Mutual proof of the shared process key at the start of each connection.
+//! Mutual authentication by the shared process key at the start of each connection.
 
 use std::io;
 use std::time::Duration;
@@ -8,22 +8,20 @@
 use subtle::ConstantTimeEq;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Bytes of a challenge.
 const CHALLENGE_BYTES: usize = 32;
 
-/// Time for the whole handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Which end of a connection a process is.
+/// Role of a process in a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Role {
     /// The process that connected.
     Client,
     /// The process that listens.
     Server,
 }
 
-impl End {
+impl Role {
     fn label(self) -> &'static [u8] {
         match self {
             Self::Client => b"sorrelland client",
@@ -31,7 +29,7 @@
         }
     }
 
-    fn other(self) -> Self {
+    fn opposite(self) -> Self {
         match self {
             Self::Client => Self::Server,
             Self::Server => Self::Client,
@@ -39,25 +37,30 @@
     }
 }
 
-/// Proves the key to the other end and checks the other end's proof.
+/// Proves possession of `key` to the peer and verifies that the peer possesses it too.
 ///
-/// Each end sends a random challenge and answers the other's with an HMAC over both challenges and its role,
-/// so neither a replay nor a reflection is accepted. What follows on the connection is not protected.
+/// Each end sends a random challenge and answers the peer's with an HMAC over both challenges and its own role, so
+/// that neither a replayed nor a reflected answer is accepted. Later messages on the connection are neither
+/// encrypted nor authenticated.
 ///
 /// # Errors
 ///
-/// Returns an error when the other end is silent, goes away or does not know the key.
-pub async fn prove(io: &mut (impl AsyncRead + AsyncWrite + Unpin), key: &str, end: End) -> io::Result<()> {
+/// Fails if the peer does not answer in time, disconnects or has a different key.
+pub async fn authenticate(
+    io: &mut (impl AsyncRead + AsyncWrite + Unpin),
+    key: &str,
+    role: Role,
+) -> io::Result<()> {
     let exchange = async {
-        let mine: [u8; CHALLENGE_BYTES] = rand::random();
-        io.write_all(&mine).await?;
-        let mut theirs = [0; CHALLENGE_BYTES];
-        io.read_exact(&mut theirs).await?;
-        io.write_all(&tag(key, end, &theirs, &mine)?).await?;
-        let expected = tag(key, end.other(), &mine, &theirs)?;
-        let mut proof = vec![0; expected.len()];
-        io.read_exact(&mut proof).await?;
-        match bool::from(proof.ct_eq(&expected)) {
+        let own_challenge: [u8; CHALLENGE_BYTES] = rand::random();
+        io.write_all(&own_challenge).await?;
+        let mut peer_challenge = [0; CHALLENGE_BYTES];
+        io.read_exact(&mut peer_challenge).await?;
+        io.write_all(&compute_proof(key, role, &peer_challenge, &own_challenge)?).await?;
+        let expected = compute_proof(key, role.opposite(), &own_challenge, &peer_challenge)?;
+        let mut peer_proof = vec![0; expected.len()];
+        io.read_exact(&mut peer_proof).await?;
+        match bool::from(peer_proof.ct_eq(&expected)) {
             true => Ok(()),
             false => Err(io::Error::new(io::ErrorKind::PermissionDenied, "process key differs")),
         }
@@ -65,10 +68,10 @@
     tokio::time::timeout(HANDSHAKE_TIMEOUT, exchange).await?
 }
 
-fn tag(key: &str, end: End, challenge: &[u8], own: &[u8]) -> io::Result<Vec<u8>> {
+fn compute_proof(key: &str, role: Role, challenge: &[u8], own_challenge: &[u8]) -> io::Result<Vec<u8>> {
     let mut mac = Hmac::<Sha256>::new_from_slice(key.as_bytes()).map_err(io::Error::other)?;
-    mac.update(end.label());
+    mac.update(role.label());
     mac.update(challenge);
-    mac.update(own);
+    mac.update(own_challenge);
     Ok(mac.finalize().into_bytes().to_vec())
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages between the system's own processes, and their authenticated connections.
+//! RPC messages between Sorrelland processes, and the authenticated connections that carry them.
 
 pub mod agent;
 pub mod connect;
