--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -8,10 +8,8 @@
 use crate::platform_worker::Setup;
 use crate::worker::Sizes;
 
-/// Result of the command line.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Help text of the program.
 pub const HELP: &str = "\
 sorrelland-standin - stand-ins for the platform
 
@@ -34,49 +32,33 @@
 The address is printed on the first line, as: listening IP:PORT
 ";
 
-/// What the command line asks for.
+/// What the program should run.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Print the help text.
     Help,
-    /// Run a log.
-    Log {
-        /// Address to listen on.
-        listen: SocketAddr,
-    },
-    /// Run a worker.
-    Worker {
-        /// Address to listen on.
-        listen: SocketAddr,
-        /// Sizes of the worker.
-        sizes: Sizes,
-    },
-    /// Run a store of the users' platform.
-    PlatformStore {
-        /// Address to listen on.
-        listen: SocketAddr,
-    },
+    /// Run the log service.
+    Log { listen: SocketAddr },
+    /// Run a worker with its upstream.
+    Worker { listen: SocketAddr, sizes: Sizes },
+    /// Run the store of the users' platform.
+    PlatformStore { listen: SocketAddr },
     /// Run a worker of the users' platform.
-    PlatformWorker {
-        /// Address to listen on.
-        listen: SocketAddr,
-        /// Setup of the worker.
-        setup: Setup,
-    },
+    PlatformWorker { listen: SocketAddr, setup: Setup },
 }
 
-/// Why the command line or a server failed.
+/// Failure of the command line or of a server.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
     /// The command line was malformed.
     #[display("{_0}")]
     Usage(lexopt::Error),
-    /// The server did not start.
+    /// The server could not be started.
     #[display("{_0}")]
     Start(dropshot::BuildError),
 }
 
-/// Returns the sizes of a worker as the first users have them.
+/// Returns the size of the workers that the first users run.
 pub fn default_sizes() -> Sizes {
     Sizes {
         name: "worker-1".to_owned(),
@@ -92,7 +74,7 @@
 ///
 /// # Errors
 ///
-/// Returns what was malformed.
+/// Fails on an unknown or malformed argument, and if the command or a required option is missing.
 pub fn parse(mut parser: lexopt::Parser) -> Result<Command> {
     let mut kind = None;
     let mut listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -122,10 +104,10 @@
                 i64::from(sizes.memory_gb) * 1_024,
                 i64::from(sizes.accelerators),
             );
-            let setup = Setup { life: sizes.name, announce, rack, capacity };
+            let setup = Setup { incarnation: sizes.name, announce, rack, capacity };
             Ok(Command::PlatformWorker { listen, setup })
         }
-        Some("platform-worker") => Err(lexopt::Error::Custom("--announce is needed".into()).into()),
+        Some("platform-worker") => Err(lexopt::Error::Custom("--announce is required".into()).into()),
         _ => {
             Err(lexopt::Error::Custom("expected log, worker, platform-store or platform-worker".into())
                 .into())
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -17,53 +17,49 @@
 
 use crate::clock::wall_ms;
 
-/// Result of a request to the log.
 pub type Result<T, E = ApiError> = std::result::Result<T, E>;
 
-/// Bytes of one append at most.
-pub const APPEND_LIMIT_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_APPEND_BYTES: usize = 8 * 1024 * 1024;
 
-/// Records of one read at most.
-pub const READ_LIMIT_RECORDS: usize = 1_000;
+/// Maximum number of records that one read returns.
+pub const MAX_READ_RECORDS: usize = 1_000;
 
-/// Longest wait of a read for new records, in milliseconds.
-pub const WAIT_LIMIT_MS: u64 = 10_000;
+/// Longest wait of a read for new records.
+pub const MAX_WAIT_MS: u64 = 10_000;
 
-/// How the log behaves.
+/// Availability of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// Everything works.
+    /// Requests are carried out and answered.
     #[default]
     Up,
-    /// Every request fails and nothing is appended.
+    /// Every request fails, and nothing is appended.
     Down,
-    /// Appends take effect, but their answers are lost.
+    /// Appends take effect, but are answered with an error.
     AnswerLost,
 }
 
-/// Faults that a test switches on.
+/// Faults that a test injects.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 pub struct Faults {
-    /// How the log behaves.
     #[serde(default)]
     pub mode: Mode,
-    /// Delay before every answer, in milliseconds.
+    /// Delay of each append and read, in milliseconds.
     #[serde(default)]
     pub slow_ms: u64,
-    /// Records that are kept; `None` keeps all.
+    /// Number of newest records to keep after an append; `None` keeps all.
     #[serde(default)]
     pub retain: Option<usize>,
 }
 
-/// Records to append.
+/// Body of an append.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Append {
-    /// The records, in order.
     pub records: Vec<Value>,
 }
 
-/// Where an append went.
+/// Offsets that an append occupies.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Appended {
     /// Offset of the first appended record.
@@ -72,12 +68,12 @@
     pub next: u64,
 }
 
-/// What to read.
+/// Query of a read.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Read {
-    /// Offset of the first record wanted.
+    /// Offset of the first record to return.
     pub from: u64,
-    /// Wait for new records, in milliseconds.
+    /// Time to wait if there are no new records, in milliseconds.
     #[serde(default)]
     pub wait_ms: u64,
 }
@@ -87,20 +83,18 @@
 pub struct Entry {
     /// Offset of the record.
     pub offset: u64,
-    /// When it was appended, in milliseconds since 1970.
+    /// Time of the append, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The record.
     pub record: Value,
 }
 
-/// Records from an offset on.
+/// Answer to a read.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Page {
-    /// Offset of the oldest record that is kept.
+    /// Offset of the oldest retained record.
     pub first: u64,
     /// Offset after the newest record.
     pub next: u64,
-    /// The records.
     pub entries: Vec<Entry>,
 }
 
@@ -112,11 +106,11 @@
     appends: u64,
 }
 
-/// The log with its faults.
 #[derive(Default)]
 pub struct Log {
     state: Mutex<State>,
-    grown: Notify,
+    /// Notified on each append and each change of the faults.
+    state_changed: Notify,
 }
 
 impl Log {
@@ -134,11 +128,11 @@
             state.next += 1;
         }
         state.appends += 1;
-        let keep = state.faults.retain.unwrap_or(usize::MAX);
-        while state.entries.len() > keep {
+        let max_records = state.faults.retain.unwrap_or(usize::MAX);
+        while state.entries.len() > max_records {
             state.entries.pop_front();
         }
-        self.grown.notify_waiters();
+        self.state_changed.notify_waiters();
         Appended { first, next: state.next }
     }
 
@@ -146,11 +140,11 @@
         let state = self.state();
         let first = state.entries.front().map_or(state.next, |entry| entry.offset);
         let skip = from.saturating_sub(first) as usize;
-        let entries = state.entries.iter().skip(skip).take(READ_LIMIT_RECORDS).cloned().collect();
+        let entries = state.entries.iter().skip(skip).take(MAX_READ_RECORDS).cloned().collect();
         Page { first, next: state.next, entries }
     }
 
-    async fn fault_delay(&self) -> Mode {
+    async fn delay_by_fault(&self) -> Mode {
         let faults = self.state().faults.clone();
         if faults.slow_ms > 0 {
             tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
@@ -163,11 +157,10 @@
     ApiError::new(503, "log_unavailable", "the log does not answer")
 }
 
-/// Appends records.
 #[endpoint { method = POST, path = "/v1/records" }]
 async fn append(cx: RequestContext<Log>, body: TypedBody<Append>) -> Result<HttpResponseOk<Appended>> {
     let log = cx.context();
-    let mode = log.fault_delay().await;
+    let mode = log.delay_by_fault().await;
     if mode == Mode::Down {
         return Err(unavailable());
     }
@@ -178,28 +171,28 @@
     }
 }
 
-/// Reads records from an offset on.
+/// Reads records from an offset; if there are none, waits for an append first.
 #[endpoint { method = GET, path = "/v1/records" }]
 async fn read(cx: RequestContext<Log>, query: Query<Read>) -> Result<HttpResponseOk<Page>> {
     let log = cx.context();
     let read = query.into_inner();
-    let wait = Duration::from_millis(read.wait_ms.min(WAIT_LIMIT_MS));
-    let grown = log.grown.notified();
-    if log.fault_delay().await == Mode::Down {
+    let wait = Duration::from_millis(read.wait_ms.min(MAX_WAIT_MS));
+    let state_changed = log.state_changed.notified();
+    if log.delay_by_fault().await == Mode::Down {
         return Err(unavailable());
     }
     let page = log.page(read.from);
     if !page.entries.is_empty() || wait.is_zero() {
         return Ok(HttpResponseOk(page));
     }
-    let _ = tokio::time::timeout(wait, grown).await;
+    let _ = tokio::time::timeout(wait, state_changed).await;
     if log.state().faults.mode == Mode::Down {
         return Err(unavailable());
     }
     Ok(HttpResponseOk(log.page(read.from)))
 }
 
-/// Switches faults.
+/// Replaces the faults in effect.
 #[endpoint { method = PUT, path = "/v1/faults" }]
 async fn set_faults(
     cx: RequestContext<Log>,
@@ -207,20 +200,20 @@
 ) -> Result<HttpResponseUpdatedNoContent> {
     let log = cx.context();
     log.state().faults = body.into_inner();
-    log.grown.notify_waiters();
+    log.state_changed.notify_waiters();
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// Counts since the start.
+/// Totals since the start.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Counts {
-    /// Append calls that took effect.
+    /// Number of append calls that took effect.
     pub appends: u64,
-    /// Records appended.
+    /// Number of records appended.
     pub records: u64,
 }
 
-/// Tells how much was appended.
+/// Returns how much has been appended.
 #[endpoint { method = GET, path = "/v1/counts" }]
 async fn counts(cx: RequestContext<Log>) -> Result<HttpResponseOk<Counts>> {
     let state = cx.context().state();
@@ -231,7 +224,11 @@
 ///
 /// # Errors
 ///
-/// Returns why the address could not be bound.
+/// Fails if the server cannot be started, for example because the address is in use.
+///
+/// # Panics
+///
+/// Panics if two endpoints have the same method and path, which is a programming error.
 pub fn start(address: SocketAddr) -> server::Result<HttpServer<Log>> {
     let mut api = ApiDescription::new();
     let registered = api
@@ -240,5 +237,5 @@
         .and_then(|()| api.register(set_faults))
         .and_then(|()| api.register(counts));
     registered.expect("paths are registered once");
-    server::start(api, Log::default(), address, APPEND_LIMIT_BYTES)
+    server::start(api, Log::default(), address, MAX_APPEND_BYTES)
 }
--- a/crates/standin/src/platform_store.rs
+++ b/crates/standin/src/platform_store.rs
@@ -1,6 +1,6 @@
 //! Stand-in for the store of the users' platform: partitions with offsets, keyed topics, conditional appends,
-//! producers with epochs, long polls, and faults that a test switches on. Consumer groups are not played: the
-//! project does not use them.
+//! producers with epochs, long polls, and faults that a test injects. Consumer groups are not implemented, since
+//! the project does not use them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,42 +19,44 @@
 use sorrelland_web::server;
 use tokio::sync::Notify;
 
-/// Result of a request.
 pub type Result<T, E = HttpError> = std::result::Result<T, E>;
 
-/// Bytes of one call at most.
-const CALL_LIMIT_BYTES: usize = 2 * 1024 * 1024;
+const MAX_REQUEST_BYTES: usize = 2 * 1024 * 1024;
 
-/// Items of a page of newest records at most; small, so that tests reach a second page.
-const PAGE_ITEMS: usize = 50;
+/// Maximum number of items on a page of `/log-newest`; small, so that tests reach a second page.
+const MAX_PAGE_ITEMS: usize = 50;
 
-/// Longest wait of a read, in milliseconds.
-const WAIT_LIMIT_MS: u64 = 30_000;
+/// Longest wait of a read for new records.
+const MAX_WAIT_MS: u64 = 30_000;
 
-/// Answers of a producer's newest appends that are given again.
-const REPEATS: usize = 5;
+/// Number of replies remembered per producer; a repeated append among them gets the same reply again.
+const MAX_REMEMBERED_REPLIES: usize = 5;
 
-/// Faults that a test switches on.
+/// Faults that a test injects.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, JsonSchema)]
 pub struct Faults {
-    /// Every call is refused with 503.
+    /// Each call is answered with 503.
     #[serde(default)]
     pub down: bool,
-    /// Every call that arrives or waits is never answered, even when the store is back.
+    /// Calls that arrive or wait meanwhile are never answered, not even after the fault ends.
     #[serde(default)]
-    pub silent: bool,
-    /// Appends are carried out and the answers withheld, one in this many; 0 for none.
+    #[serde(rename = "silent")]
+    pub unresponsive: bool,
+    /// One in this many appends is never answered, though carried out; 0 for none.
     #[serde(default)]
-    pub lose_every: u64,
-    /// Delay of every answer, in milliseconds.
+    #[serde(rename = "lose_every")]
+    pub lose_reply_every: u64,
+    /// Delay of each answer, in milliseconds.
     #[serde(default)]
     pub slow_ms: u64,
 }
 
 #[derive(Default)]
 struct Partition {
+    /// Offset of the first record in `records`.
     first: u64,
     records: VecDeque<Vec<u8>>,
+    /// Newest value of each key, and its offset; survives a compaction.
     newest: BTreeMap<String, (Vec<u8>, u64)>,
     producers: BTreeMap<String, Producer>,
 }
@@ -62,8 +64,9 @@
 #[derive(Default)]
 struct Producer {
     epoch: u64,
-    next: Option<u64>,
-    answered: VecDeque<(u64, Value)>,
+    next_sequence: Option<u64>,
+    /// Replies to the newest appends, by sequence number.
+    replies: VecDeque<(u64, Value)>,
 }
 
 impl Partition {
@@ -88,15 +91,14 @@
     }
 }
 
-/// The store.
 #[derive(Default)]
 pub struct Store {
     partitions: Mutex<BTreeMap<(String, u64), Partition>>,
     faults: Mutex<Faults>,
     appends: Mutex<u64>,
-    /// Times that the store has gone silent.
-    silences: Mutex<u64>,
-    changed: Notify,
+    /// Number of times that the store became unresponsive; a waiting read compares it to notice such a fault.
+    outages: Mutex<u64>,
+    appended: Notify,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -107,6 +109,7 @@
 struct AppendQuery {
     topic: String,
     part: u64,
+    /// Expected end offset; any other refuses the append.
     at: Option<u64>,
     producer: Option<String>,
     epoch: Option<u64>,
@@ -125,6 +128,7 @@
 struct NewestQuery {
     topic: String,
     part: u64,
+    /// Key after which the page starts.
     after: Option<String>,
 }
 
@@ -133,15 +137,15 @@
     topic: String,
 }
 
-/// Starts the stand-in.
+/// Starts a store on `listen`.
 ///
 /// # Errors
 ///
-/// Returns why the address could not be bound.
+/// Fails if the server cannot be started, for example because the address is in use.
 ///
 /// # Panics
 ///
-/// Panics if an endpoint is registered twice, which is a fault in this file.
+/// Panics if two endpoints have the same method and path, which is a programming error.
 pub fn start(listen: SocketAddr) -> std::result::Result<HttpServer<Store>, dropshot::BuildError> {
     let mut api = ApiDescription::new();
     api.register(log_append).expect("registered once");
@@ -149,25 +153,26 @@
     api.register(log_newest).expect("registered once");
     api.register(set_faults).expect("registered once");
     api.register(compact).expect("registered once");
-    server::start(api, Store::default(), listen, CALL_LIMIT_BYTES)
+    server::start(api, Store::default(), listen, MAX_REQUEST_BYTES)
 }
 
-fn answer(status: StatusCode, body: &Value) -> Result<Response<Body>> {
+fn respond(status: StatusCode, body: &Value) -> Result<Response<Body>> {
     let response = Response::builder().status(status).header("content-type", "application/json");
     response.body(Body::from(body.to_string())).map_err(|e| HttpError::for_internal_error(e.to_string()))
 }
 
-/// Delays an answer; returns whether the store is down.
-async fn is_down(store: &Store) -> bool {
+/// Applies the faults that delay or withhold the answer; returns whether the store is down.
+async fn apply_faults(store: &Store) -> bool {
     let faults = *lock(&store.faults);
-    if faults.silent {
+    if faults.unresponsive {
         std::future::pending::<()>().await;
     }
     tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
     faults.down
 }
 
-fn unframe(mut body: &[u8]) -> Option<Vec<Vec<u8>>> {
+/// Decodes records, each preceded by its length as a big-endian `u32`; `None` if the body is truncated.
+fn decode(mut body: &[u8]) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     while !body.is_empty() {
         let (length, rest) = body.split_at_checked(4)?;
@@ -185,22 +190,22 @@
     body: UntypedBody,
 ) -> Result<Response<Body>> {
     let store = cx.context();
-    if is_down(store).await {
-        return answer(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
+    if apply_faults(store).await {
+        return respond(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
     }
-    let Some(records) = unframe(body.as_bytes()) else { return answer(StatusCode::BAD_REQUEST, &json!({})) };
-    let (status, told) = append(store, query.into_inner(), records);
-    store.changed.notify_waiters();
-    let lost = {
+    let Some(records) = decode(body.as_bytes()) else { return respond(StatusCode::BAD_REQUEST, &json!({})) };
+    let (status, reply) = append(store, query.into_inner(), records);
+    store.appended.notify_waiters();
+    let reply_lost = {
         let mut appends = lock(&store.appends);
         *appends += 1;
-        let every = lock(&store.faults).lose_every;
+        let every = lock(&store.faults).lose_reply_every;
         status == StatusCode::OK && every > 0 && appends.is_multiple_of(every)
     };
-    if lost {
+    if reply_lost {
         std::future::pending::<()>().await;
     }
-    answer(status, &told)
+    respond(status, &reply)
 }
 
 fn append(store: &Store, query: AppendQuery, records: Vec<Vec<u8>>) -> (StatusCode, Value) {
@@ -220,95 +225,95 @@
     if epoch > producer.epoch {
         *producer = Producer { epoch, ..Producer::default() };
     }
-    if let Some((_, told)) = producer.answered.iter().find(|(number, _)| *number == sequence) {
-        return (StatusCode::OK, told.clone());
+    if let Some((_, reply)) = producer.replies.iter().find(|(number, _)| *number == sequence) {
+        return (StatusCode::OK, reply.clone());
     }
-    if producer.next.is_some_and(|next| next != sequence) {
-        return (StatusCode::CONFLICT, json!({"reason": "seq", "sequence": producer.next}));
+    if producer.next_sequence.is_some_and(|next| next != sequence) {
+        return (StatusCode::CONFLICT, json!({"reason": "seq", "sequence": producer.next_sequence}));
     }
     if records.is_empty() {
         return (StatusCode::OK, json!({"offset": partition.end(), "end": partition.end()}));
     }
-    let told = partition.append(keyed, records);
+    let reply = partition.append(keyed, records);
     let producer = partition.producers.entry(name).or_default();
-    producer.next = Some(sequence + 1);
-    producer.answered.push_back((sequence, told.clone()));
-    if producer.answered.len() > REPEATS {
-        producer.answered.pop_front();
+    producer.next_sequence = Some(sequence + 1);
+    producer.replies.push_back((sequence, reply.clone()));
+    if producer.replies.len() > MAX_REMEMBERED_REPLIES {
+        producer.replies.pop_front();
     }
-    (StatusCode::OK, told)
+    (StatusCode::OK, reply)
 }
 
 #[endpoint { method = GET, path = "/log-read" }]
 async fn log_read(cx: RequestContext<Store>, query: Query<ReadQuery>) -> Result<Response<Body>> {
     let (store, query) = (cx.context(), query.into_inner());
-    let wait = Duration::from_millis(query.wait_ms.unwrap_or(0).min(WAIT_LIMIT_MS));
-    let until = tokio::time::Instant::now() + wait;
-    let silences = *lock(&store.silences);
+    let wait = Duration::from_millis(query.wait_ms.unwrap_or(0).min(MAX_WAIT_MS));
+    let deadline = tokio::time::Instant::now() + wait;
+    let outages = *lock(&store.outages);
     loop {
-        if *lock(&store.silences) != silences {
+        if *lock(&store.outages) != outages {
             std::future::pending::<()>().await;
         }
-        if is_down(store).await {
-            return answer(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
+        if apply_faults(store).await {
+            return respond(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
         }
-        let changed = store.changed.notified();
-        let late = tokio::time::Instant::now() >= until;
-        let read = {
+        let appended = store.appended.notified();
+        let timed_out = tokio::time::Instant::now() >= deadline;
+        let page = {
             let mut partitions = lock(&store.partitions);
             let partition = partitions.entry((query.topic.clone(), query.part)).or_default();
             if query.from < partition.first {
-                return answer(StatusCode::GONE, &json!({"first_offset": partition.first}));
+                return respond(StatusCode::GONE, &json!({"first_offset": partition.first}));
             }
-            (partition.end() > query.from || late).then(|| {
-                let mut raw = partition.end().to_be_bytes().to_vec();
-                raw.extend(partition.first.to_be_bytes());
+            (partition.end() > query.from || timed_out).then(|| {
+                let mut body = partition.end().to_be_bytes().to_vec();
+                body.extend(partition.first.to_be_bytes());
                 for record in partition.records.iter().skip((query.from - partition.first) as usize) {
-                    raw.extend((record.len() as u32).to_be_bytes());
-                    raw.extend(record);
+                    body.extend((record.len() as u32).to_be_bytes());
+                    body.extend(record);
                 }
-                raw
+                body
             })
         };
-        if let Some(raw) = read {
-            let response = Response::builder().status(StatusCode::OK).body(Body::from(raw));
+        if let Some(page) = page {
+            let response = Response::builder().status(StatusCode::OK).body(Body::from(page));
             return response.map_err(|e| HttpError::for_internal_error(e.to_string()));
         }
-        // Either a change, or the end of the wait.
-        let _ = tokio::time::timeout_at(until, changed).await;
+        // The loop checks both for new records and for the end of the wait.
+        let _ = tokio::time::timeout_at(deadline, appended).await;
     }
 }
 
 #[endpoint { method = GET, path = "/log-newest" }]
 async fn log_newest(cx: RequestContext<Store>, query: Query<NewestQuery>) -> Result<Response<Body>> {
     let (store, query) = (cx.context(), query.into_inner());
-    if is_down(store).await {
-        return answer(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
+    if apply_faults(store).await {
+        return respond(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
     }
     let mut partitions = lock(&store.partitions);
     let partition = partitions.entry((query.topic, query.part)).or_default();
     let after = query.after.unwrap_or_default();
-    let mut rest = partition.newest.iter().filter(|(key, _)| **key > after || after.is_empty());
-    let items: Vec<Value> = rest
+    let mut items_after = partition.newest.iter().filter(|(key, _)| **key > after || after.is_empty());
+    let items: Vec<Value> = items_after
         .by_ref()
-        .take(PAGE_ITEMS)
+        .take(MAX_PAGE_ITEMS)
         .map(|(key, (value, offset))| {
             json!({"key": key, "value": BASE64_STANDARD.encode(value), "offset": offset})
         })
         .collect();
-    let has_more = rest.next().is_some();
-    answer(StatusCode::OK, &json!({"items": items, "has_more": has_more, "end": partition.end()}))
+    let has_more = items_after.next().is_some();
+    respond(StatusCode::OK, &json!({"items": items, "has_more": has_more, "end": partition.end()}))
 }
 
 #[endpoint { method = PUT, path = "/v1/faults" }]
 async fn set_faults(cx: RequestContext<Store>, body: TypedBody<Faults>) -> Result<HttpResponseOk<Faults>> {
     let faults = body.into_inner();
     *lock(&cx.context().faults) = faults;
-    *lock(&cx.context().silences) += u64::from(faults.silent);
+    *lock(&cx.context().outages) += u64::from(faults.unresponsive);
     Ok(HttpResponseOk(faults))
 }
 
-/// Drops the records of a topic; the newest of each key stay.
+/// Drops all records of a topic from the log; the newest value of each key remains readable by `/log-newest`.
 #[endpoint { method = POST, path = "/v1/compact" }]
 async fn compact(cx: RequestContext<Store>, query: Query<CompactQuery>) -> Result<HttpResponseOk<()>> {
     let topic = query.into_inner().topic;
--- a/crates/standin/src/platform_worker.rs
+++ b/crates/standin/src/platform_worker.rs
@@ -1,5 +1,6 @@
-//! Stand-in for a worker of the users' platform: leases, fencing, numbered ends, gangs that wait for each other
-//! are not played, every run works by itself. The text of a job says how long its subtasks run: `run_ms=300`.
+//! Stand-in for a worker of the users' platform, with leases, fencing and numbered reports of ended runs. Gangs
+//! whose members wait for each other are not simulated: each run proceeds by itself. The text of a job sets the
+//! run time of its subtasks, as in `run_ms=300`; with the word `fails` in it, the runs fail at their end.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,57 +18,58 @@
 
 use crate::clock::wall_ms;
 
-/// Result of a request.
 pub type Result<T, E = HttpError> = std::result::Result<T, E>;
 
-/// Time between two announcements.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(300);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Longest lease, in milliseconds.
-const LEASE_MOST_MS: u64 = 6_000;
+const MAX_LEASE_MS: u64 = 6_000;
 
-/// Time of a stop, in milliseconds.
-const STOP_MS: u64 = 100;
+/// Time that a run takes to stop.
+const STOP_DURATION_MS: u64 = 100;
 
-/// Time that a run takes whose text says nothing, in milliseconds.
-const RUN_MS: u64 = 300;
+/// Run time if the text of the job sets none.
+const DEFAULT_RUN_MS: u64 = 300;
 
-/// Sizes of a worker.
+/// Identity and size of a worker.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Name of this life.
-    pub life: String,
-    /// Address of the agent that it announces itself to.
+    /// Name of this incarnation of the worker.
+    pub incarnation: String,
+    /// Address of the agent that the worker announces itself to.
     pub announce: String,
-    /// Rack.
     pub rack: String,
-    /// Thousandths of cores, megabytes, accelerators.
+    /// CPU in thousandths of a core, memory in megabytes, number of accelerators.
     pub capacity: (i64, i64, i64),
 }
 
 struct Run {
-    ends_at: u64,
+    end_ms: u64,
     stopped: bool,
     fails: bool,
 }
 
 #[derive(Default)]
 struct State {
+    /// Highest fencing token received.
     token: u64,
-    lease_until: u64,
+    lease_end_ms: u64,
+    /// Active runs by task and run number.
     running: BTreeMap<(String, u64), Run>,
+    /// Ended runs that the agent has not acknowledged.
     finished: Vec<Value>,
-    ends: u64,
-    highest: BTreeMap<String, u64>,
+    /// Number of runs that have ended; numbers the entries of `finished`.
+    end_count: u64,
+    /// Highest run number started or stopped, by task.
+    highest_run: BTreeMap<String, u64>,
     history: Vec<Value>,
 }
 
-/// A worker.
 pub struct Worker {
     setup: Setup,
-    began: Instant,
+    started: Instant,
     state: Mutex<State>,
-    changed: Notify,
+    /// Notified when a run has ended.
+    run_ended: Notify,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -76,40 +78,40 @@
 
 impl Worker {
     fn clock_ms(&self) -> u64 {
-        1_000 + self.began.elapsed().as_millis() as u64
+        1_000 + self.started.elapsed().as_millis() as u64
     }
 
-    /// Ends what is due.
+    /// Ends the runs that are complete, and all runs if the lease has ended.
     fn advance(&self, state: &mut State) {
         let now = self.clock_ms();
-        let lapsed = now > state.lease_until;
-        let over = |run: &Run| lapsed || now >= run.ends_at;
+        let lapsed = now > state.lease_end_ms;
+        let is_due = |run: &Run| lapsed || now >= run.end_ms;
         let due: Vec<(String, u64)> =
-            state.running.iter().filter(|(_, run)| over(run)).map(|(key, _)| key.clone()).collect();
+            state.running.iter().filter(|(_, run)| is_due(run)).map(|(key, _)| key.clone()).collect();
         for key in due {
             let Some(run) = state.running.remove(&key) else { continue };
-            let how = match run {
+            let reason = match run {
                 Run { stopped: true, .. } => "stopped",
-                Run { ends_at, .. } if now < ends_at => "lapsed",
+                Run { end_ms, .. } if now < end_ms => "lapsed",
                 Run { fails: true, .. } => "failed",
                 _ => "done",
             };
-            state.ends += 1;
-            state.finished.push(json!([state.ends, key.0, key.1, how, ""]));
-            state.history.push(json!({"what": how, "task": key.0, "run": key.1, "at_ms": wall_ms()}));
+            state.end_count += 1;
+            state.finished.push(json!([state.end_count, key.0, key.1, reason, ""]));
+            state.history.push(json!({"what": reason, "task": key.0, "run": key.1, "at_ms": wall_ms()}));
         }
     }
 }
 
-/// Starts the stand-in; it announces itself until it ends.
+/// Starts a worker on `listen`, which announces itself to its agent for as long as the process runs.
 ///
 /// # Errors
 ///
-/// Returns why the address could not be bound.
+/// Fails if the server cannot be started, for example because the address is in use.
 ///
 /// # Panics
 ///
-/// Panics if an endpoint is registered twice, which is a fault in this file.
+/// Panics if two endpoints have the same method and path, which is a programming error.
 pub fn start(
     listen: SocketAddr,
     setup: Setup,
@@ -119,34 +121,38 @@
     api.register(run_stop).expect("registered once");
     api.register(hold).expect("registered once");
     api.register(history).expect("registered once");
-    let worker =
-        Arc::new(Worker { setup, began: Instant::now(), state: Mutex::default(), changed: Notify::new() });
+    let worker = Arc::new(Worker {
+        setup,
+        started: Instant::now(),
+        state: Mutex::default(),
+        run_ended: Notify::new(),
+    });
     let server = server::start(api, worker.clone(), listen, 1024 * 1024)?;
     let address = server.local_addr().to_string();
-    tokio::spawn(announce(worker.clone(), address));
-    tokio::spawn(work(worker));
+    tokio::spawn(announce_loop(worker.clone(), address));
+    tokio::spawn(advance_loop(worker));
     Ok(server)
 }
 
-async fn work(worker: Arc<Worker>) {
+async fn advance_loop(worker: Arc<Worker>) {
     loop {
         tokio::time::sleep(Duration::from_millis(10)).await;
-        let ended = {
+        let any_ended = {
             let mut state = lock(&worker.state);
-            let before = state.ends;
+            let count_before = state.end_count;
             worker.advance(&mut state);
-            state.ends > before
+            state.end_count > count_before
         };
-        if ended {
-            worker.changed.notify_waiters();
+        if any_ended {
+            worker.run_ended.notify_waiters();
         }
     }
 }
 
-async fn announce(worker: Arc<Worker>, address: String) {
+async fn announce_loop(worker: Arc<Worker>, address: String) {
     let client = Client::new(Duration::from_secs(1));
-    let Setup { life, announce, rack, capacity } = &worker.setup;
-    let url = format!("http://{announce}/instances/{life}");
+    let Setup { incarnation, announce, rack, capacity } = &worker.setup;
+    let url = format!("http://{announce}/instances/{incarnation}");
     for sequence in 1.. {
         let body = json!({
             "service": "svc", "address": address, "zone": "haiphong-a", "version": "v1", "slots": 8,
@@ -154,117 +160,119 @@
             "capacity": {"cpu": capacity.0, "memory_request_mb": capacity.1, "gpu": capacity.2},
             "clock_ms": worker.clock_ms(),
         });
-        // An agent that is away hears of the worker later.
+        // A lost announcement needs no handling: the next one follows after the interval.
         let _ = client.send(Method::PUT, &url, &[], Bytes::from(body.to_string())).await;
-        tokio::time::sleep(ANNOUNCE_EVERY).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
-fn answer(status: StatusCode, body: &Value) -> Result<Response<Body>> {
+fn respond(status: StatusCode, body: &Value) -> Result<Response<Body>> {
     let response = Response::builder().status(status).header("content-type", "application/json");
     response.body(Body::from(body.to_string())).map_err(|e| HttpError::for_internal_error(e.to_string()))
 }
 
-/// Reads an order; refuses one for another life, or with a token lower than one seen.
-fn order(
+/// Parses a request and extends the lease to the request's deadline, up to the longest lease.
+///
+/// Refuses a request for another incarnation, or whose fencing token is lower than the highest one received.
+fn accept_request(
     cx: &RequestContext<Arc<Worker>>,
     body: &UntypedBody,
 ) -> std::result::Result<Value, (StatusCode, Value)> {
     let worker = cx.context();
-    let life = cx.request.headers().get("x-expected-instance").and_then(|life| life.to_str().ok());
-    if life.is_some_and(|life| life != worker.setup.life) {
+    let expected = cx.request.headers().get("x-expected-instance").and_then(|value| value.to_str().ok());
+    if expected.is_some_and(|expected| expected != worker.setup.incarnation) {
         return Err((StatusCode::MISDIRECTED_REQUEST, json!({})));
     }
-    let order: Value =
+    let request: Value =
         serde_json::from_slice(body.as_bytes()).map_err(|_| (StatusCode::BAD_REQUEST, json!({})))?;
     let clock_ms = worker.clock_ms();
     let mut state = lock(&worker.state);
     worker.advance(&mut state);
-    let token = order["fencing_token"].as_u64().unwrap_or(0);
+    let token = request["fencing_token"].as_u64().unwrap_or(0);
     if token < state.token {
         return Err((StatusCode::CONFLICT, json!({"clock_ms": clock_ms, "reason": "fence"})));
     }
     state.token = token;
-    if let Some(deadline) = order["deadline_ms"].as_u64() {
-        state.lease_until = state.lease_until.max(deadline.min(clock_ms + LEASE_MOST_MS));
+    if let Some(deadline) = request["deadline_ms"].as_u64() {
+        state.lease_end_ms = state.lease_end_ms.max(deadline.min(clock_ms + MAX_LEASE_MS));
     }
-    Ok(order)
+    Ok(request)
 }
 
-fn named(order: &Value) -> (String, u64) {
-    (order["task"].as_str().unwrap_or_default().to_owned(), order["run"].as_u64().unwrap_or(0))
+fn task_and_run(request: &Value) -> (String, u64) {
+    (request["task"].as_str().unwrap_or_default().to_owned(), request["run"].as_u64().unwrap_or(0))
 }
 
 #[endpoint { method = POST, path = "/run-start" }]
 async fn run_start(cx: RequestContext<Arc<Worker>>, body: UntypedBody) -> Result<Response<Body>> {
-    let order = match order(&cx, &body) {
-        Ok(order) => order,
-        Err((status, told)) => return answer(status, &told),
+    let request = match accept_request(&cx, &body) {
+        Ok(request) => request,
+        Err((status, reply)) => return respond(status, &reply),
     };
     let worker = cx.context();
     let clock_ms = worker.clock_ms();
-    let (task, run) = named(&order);
+    let (task, run) = task_and_run(&request);
     let mut state = lock(&worker.state);
     if state.running.contains_key(&(task.clone(), run)) {
-        return answer(StatusCode::OK, &json!({"clock_ms": clock_ms}));
+        return respond(StatusCode::OK, &json!({"clock_ms": clock_ms}));
     }
-    if state.highest.get(&task).is_some_and(|highest| *highest >= run) {
-        return answer(StatusCode::CONFLICT, &json!({"clock_ms": clock_ms, "reason": "old"}));
+    if state.highest_run.get(&task).is_some_and(|highest| *highest >= run) {
+        return respond(StatusCode::CONFLICT, &json!({"clock_ms": clock_ms, "reason": "old"}));
     }
-    if clock_ms >= state.lease_until {
-        return answer(StatusCode::CONFLICT, &json!({"clock_ms": clock_ms, "reason": "late"}));
+    if clock_ms >= state.lease_end_ms {
+        return respond(StatusCode::CONFLICT, &json!({"clock_ms": clock_ms, "reason": "late"}));
     }
-    let spec = order["task_spec"].as_str().unwrap_or_default();
+    let spec = request["task_spec"].as_str().unwrap_or_default();
     let run_ms = spec.split("run_ms=").nth(1).and_then(|text| text.split(' ').next()?.parse().ok());
-    let ends_at = clock_ms + run_ms.unwrap_or(RUN_MS);
-    state.highest.insert(task.clone(), run);
+    let end_ms = clock_ms + run_ms.unwrap_or(DEFAULT_RUN_MS);
+    state.highest_run.insert(task.clone(), run);
     state.history.push(json!({"what": "start", "task": task, "run": run, "at_ms": wall_ms()}));
-    state.running.insert((task, run), Run { ends_at, stopped: false, fails: spec.contains("fails") });
-    answer(StatusCode::OK, &json!({"clock_ms": clock_ms}))
+    state.running.insert((task, run), Run { end_ms, stopped: false, fails: spec.contains("fails") });
+    respond(StatusCode::OK, &json!({"clock_ms": clock_ms}))
 }
 
 #[endpoint { method = POST, path = "/run-stop" }]
 async fn run_stop(cx: RequestContext<Arc<Worker>>, body: UntypedBody) -> Result<Response<Body>> {
-    let order = match order(&cx, &body) {
-        Ok(order) => order,
-        Err((status, told)) => return answer(status, &told),
+    let request = match accept_request(&cx, &body) {
+        Ok(request) => request,
+        Err((status, reply)) => return respond(status, &reply),
     };
     let worker = cx.context();
     let clock_ms = worker.clock_ms();
-    let (task, run) = named(&order);
+    let (task, run) = task_and_run(&request);
     let mut state = lock(&worker.state);
-    let highest = state.highest.entry(task.clone()).or_default();
+    let highest = state.highest_run.entry(task.clone()).or_default();
     *highest = (*highest).max(run);
     if let Some(run) = state.running.get_mut(&(task, run)).filter(|run| !run.stopped) {
         run.stopped = true;
-        run.ends_at = clock_ms + STOP_MS;
+        run.end_ms = clock_ms + STOP_DURATION_MS;
     }
-    answer(StatusCode::OK, &json!({"clock_ms": clock_ms}))
+    respond(StatusCode::OK, &json!({"clock_ms": clock_ms}))
 }
 
 #[endpoint { method = POST, path = "/hold" }]
 async fn hold(cx: RequestContext<Arc<Worker>>, body: UntypedBody) -> Result<Response<Body>> {
-    let order = match order(&cx, &body) {
-        Ok(order) => order,
-        Err((status, told)) => return answer(status, &told),
+    let request = match accept_request(&cx, &body) {
+        Ok(request) => request,
+        Err((status, reply)) => return respond(status, &reply),
     };
     let worker = cx.context();
-    let seen = order["last_seen"].as_u64().unwrap_or(0);
-    let wait = Duration::from_millis(order["wait_ms"].as_u64().unwrap_or(0).min(2_000));
-    let changed = worker.changed.notified();
-    let nothing = {
+    let acknowledged = request["last_seen"].as_u64().unwrap_or(0);
+    let wait = Duration::from_millis(request["wait_ms"].as_u64().unwrap_or(0).min(2_000));
+    let run_ended = worker.run_ended.notified();
+    let none_finished = {
         let mut state = lock(&worker.state);
-        state.finished.retain(|end| end[0].as_u64().is_some_and(|n| n > seen));
+        state.finished.retain(|end| end[0].as_u64().is_some_and(|n| n > acknowledged));
         state.finished.is_empty()
     };
-    if nothing {
-        // Either an end, or the end of the wait.
-        let _ = tokio::time::timeout(wait, changed).await;
+    if none_finished {
+        // The reply is the same, whether a run has ended or the wait has.
+        let _ = tokio::time::timeout(wait, run_ended).await;
     }
     let state = lock(&worker.state);
     let running: Vec<Value> = state.running.keys().map(|(task, run)| json!([task, run, "", 0, 0])).collect();
-    let told = json!({"clock_ms": worker.clock_ms(), "running": running, "finished": state.finished});
-    answer(StatusCode::OK, &told)
+    let reply = json!({"clock_ms": worker.clock_ms(), "running": running, "finished": state.finished});
+    respond(StatusCode::OK, &reply)
 }
 
 #[endpoint { method = GET, path = "/v1/history" }]
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream of a worker: short requests on a few slots.
+//! Upstream of a worker, which runs short requests on a limited number of slots.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,29 +8,29 @@
 use serde_json::Value;
 use tokio::sync::Semaphore;
 
-/// A short request as the upstream takes it.
+/// Short request to the upstream.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ShortRequest {
-    /// Identity of the request.
+    /// Request ID.
     pub request: String,
-    /// Account on whose behalf it runs.
+    /// Account on whose behalf the request runs.
     pub account: String,
-    /// Idempotency key, if any.
+    /// Idempotency key; empty for none.
     #[serde(default)]
     pub key: String,
-    /// Body; `cost_ms` and `fail` are understood.
+    /// Request body. `cost_ms` sets the run time in milliseconds; `fail` set to true makes the request fail.
     #[serde(default)]
     pub body: Value,
 }
 
-/// The upstream's answer.
+/// Answer to a short request.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ShortAnswer {
-    /// Identity of the request.
+    /// Request ID.
     pub request: String,
     /// Worker that ran it.
     pub worker: String,
-    /// The body of the request.
+    /// Body of the request.
     pub echo: Value,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Upstream {
-    /// Creates an upstream that runs `slots` requests at a time and takes `connections`.
+    /// Creates an upstream that accepts `connections` requests at a time and runs `slots` of them.
     pub fn new(slots: u32, connections: u32) -> Self {
         Self {
             slots: Arc::new(Semaphore::new(slots as usize)),
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Runs a request once it has a slot; returns `None` when there are too many connections.
-    pub async fn run(&self, request: &ShortRequest, begin: impl FnOnce()) -> Option<()> {
+    /// Waits for a slot, calls `on_start` and runs the request; returns `None` if no connection is free.
+    pub async fn run(&self, request: &ShortRequest, on_start: impl FnOnce()) -> Option<()> {
         let _connection = self.connections.try_acquire().ok()?;
         let _slot = self.slots.acquire().await.ok()?;
-        begin();
+        on_start();
         let cost_ms = request.body.get("cost_ms").and_then(Value::as_u64).unwrap_or_default();
         if cost_ms > 0 {
             tokio::time::sleep(Duration::from_millis(cost_ms)).await;
--- a/crates/standin/src/worker_api.rs
+++ b/crates/standin/src/worker_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of a worker and its upstream.
+//! HTTP API of a worker and its upstream.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -16,13 +16,11 @@
 use crate::upstream::{ShortAnswer, ShortRequest, Upstream};
 use crate::worker::{Event, Refusal, Sizes, Task, TaskSpec, Tasks};
 
-/// Result of a request to a worker.
 pub type Result<T, E = ApiError> = std::result::Result<T, E>;
 
-/// Bytes of a request body at most.
-pub const BODY_LIMIT_BYTES: usize = 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// A worker that answers requests.
+/// State shared by the request handlers.
 pub struct WorkerServer {
     tasks: Mutex<Tasks>,
     upstream: Upstream,
@@ -38,60 +36,57 @@
 impl From<Refusal> for ApiError {
     fn from(refusal: Refusal) -> Self {
         match refusal {
-            Refusal::Full => Self::new(409, "full", "no slot or accelerator is free"),
-            Refusal::OldEpoch => Self::new(409, "old_epoch", "a newer attempt was seen"),
-            Refusal::NoTask => Self::new(404, "no_task", "no such running task"),
+            Refusal::Full => Self::new(409, "full", "not enough slots or accelerators are free"),
+            Refusal::StaleEpoch => Self::new(409, "old_epoch", "a newer attempt of the job is known"),
+            Refusal::NoTask => Self::new(404, "no_task", "no such task is running"),
         }
     }
 }
 
-/// A task in a path.
 #[derive(Deserialize, JsonSchema)]
 struct TaskPath {
     task: String,
 }
 
-/// A renewed lease.
+/// Body of a lease renewal.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Lease {
-    /// Time from now, in milliseconds.
+    /// Time until the lease ends, counted from the request, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// A share of full speed.
+/// Body of a change of speed.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Throttle {
-    /// Share in percent.
+    /// Speed in percent of full speed.
     pub percent: u64,
 }
 
-/// What a checkpoint kept.
+/// Result of a checkpoint.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Checkpoint {
-    /// Run time kept, in milliseconds.
+    /// Run time that the checkpoint preserves, in milliseconds.
     pub done_ms: u64,
 }
 
-/// Sizes and usage of a worker.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct WorkerInfo {
-    /// Sizes.
     pub sizes: Sizes,
-    /// Slots in use, with a lag.
+    /// Slots in use; new tasks are counted after [`crate::worker::USAGE_LAG_MS`].
     pub slots_used: u32,
-    /// Accelerators in use, with a lag.
+    /// Accelerators in use, with the same delay.
     pub accelerators_used: u32,
 }
 
-/// Faults that a test switches on.
+/// Faults that a test injects.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 pub struct WorkerFaults {
-    /// Whether everything that starts fails.
+    /// Whether each new task and each request fails.
     #[serde(default)]
     pub fail_everything: bool,
 }
 
-/// Tells sizes and usage.
+/// Returns size and usage.
 #[endpoint { method = GET, path = "/v1/worker" }]
 async fn info(cx: RequestContext<WorkerServer>) -> Result<HttpResponseOk<WorkerInfo>> {
     let server = cx.context();
@@ -100,14 +95,12 @@
     Ok(HttpResponseOk(WorkerInfo { sizes: tasks.sizes().clone(), slots_used, accelerators_used }))
 }
 
-/// Lists the tasks.
 #[endpoint { method = GET, path = "/v1/tasks" }]
 async fn list(cx: RequestContext<WorkerServer>) -> Result<HttpResponseOk<Vec<Task>>> {
     let server = cx.context();
     Ok(HttpResponseOk(server.tasks().list(server.clock.now_ms())))
 }
 
-/// Starts a task.
 #[endpoint { method = POST, path = "/v1/tasks" }]
 async fn start_task(
     cx: RequestContext<WorkerServer>,
@@ -117,7 +110,7 @@
     Ok(HttpResponseOk(server.tasks().start(body.into_inner(), server.clock.now_ms())?))
 }
 
-/// Extends a task's lease.
+/// Extends the lease of a running task.
 #[endpoint { method = PUT, path = "/v1/tasks/{task}/lease" }]
 async fn renew(
     cx: RequestContext<WorkerServer>,
@@ -130,7 +123,7 @@
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// Sets a task's speed.
+/// Sets the speed of a running task.
 #[endpoint { method = PUT, path = "/v1/tasks/{task}/speed" }]
 async fn throttle(
     cx: RequestContext<WorkerServer>,
@@ -143,7 +136,6 @@
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// Checkpoints a task.
 #[endpoint { method = POST, path = "/v1/tasks/{task}/checkpoint" }]
 async fn checkpoint(
     cx: RequestContext<WorkerServer>,
@@ -154,7 +146,7 @@
     Ok(HttpResponseOk(Checkpoint { done_ms }))
 }
 
-/// Stops a task.
+/// Stops a task; succeeds also if no such task is running.
 #[endpoint { method = DELETE, path = "/v1/tasks/{task}" }]
 async fn stop(cx: RequestContext<WorkerServer>, path: Path<TaskPath>) -> Result<HttpResponseDeleted> {
     let server = cx.context();
@@ -170,8 +162,8 @@
 ) -> Result<HttpResponseOk<ShortAnswer>> {
     let server = cx.context();
     let request = body.into_inner();
-    let begin = || server.tasks().request(&request.request, &request.key, server.clock.now_ms());
-    if server.upstream.run(&request, begin).await.is_none() {
+    let on_start = || server.tasks().record_request(&request.request, &request.key, server.clock.now_ms());
+    if server.upstream.run(&request, on_start).await.is_none() {
         return Err(ApiError::new(503, "no_connection", "all connections are in use"));
     }
     let fails = request.body.get("fail").and_then(Value::as_bool) == Some(true);
@@ -182,7 +174,7 @@
     Ok(HttpResponseOk(ShortAnswer { request: request.request, worker, echo: request.body }))
 }
 
-/// Switches faults.
+/// Replaces the faults in effect.
 #[endpoint { method = PUT, path = "/v1/faults" }]
 async fn set_faults(
     cx: RequestContext<WorkerServer>,
@@ -192,7 +184,7 @@
     Ok(HttpResponseUpdatedNoContent())
 }
 
-/// Tells everything that happened.
+/// Returns the history of tasks and requests.
 #[endpoint { method = GET, path = "/v1/history" }]
 async fn history(cx: RequestContext<WorkerServer>) -> Result<HttpResponseOk<Vec<Event>>> {
     let server = cx.context();
@@ -203,7 +195,11 @@
 ///
 /// # Errors
 ///
-/// Returns why the address could not be bound.
+/// Fails if the server cannot be started, for example because the address is in use.
+///
+/// # Panics
+///
+/// Panics if two endpoints have the same method and path, which is a programming error.
 pub fn start(address: SocketAddr, sizes: Sizes) -> server::Result<HttpServer<WorkerServer>> {
     let mut api = ApiDescription::new();
     let registered = api
@@ -221,5 +217,5 @@
     let upstream = Upstream::new(sizes.slots, sizes.connections);
     let clock = Clock::new();
     let tasks = Mutex::new(Tasks::new(sizes, wall_ms()));
-    server::start(api, WorkerServer { tasks, upstream, clock }, address, BODY_LIMIT_BYTES)
+    server::start(api, WorkerServer { tasks, upstream, clock }, address, MAX_BODY_BYTES)
 }
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -21,13 +21,13 @@
 use crate::entry::EntryRpcClient;
 use crate::handshake::{Role, authenticate};
 
-pub const MESSAGE_LIMIT_BYTES: usize = 32 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 
 /// Limits the TCP connect only; the handshake has its own time-out.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Connections per listener; further ones are closed on accept.
-pub const CONNECTION_LIMIT: usize = 4_096;
+/// Limit per listener; further connections are closed on accept.
+pub const MAX_CONNECTIONS: usize = 4_096;
 
 /// Returns the context of a call whose deadline is `timeout` from now.
 pub fn call_context(timeout: Duration) -> context::Context {
@@ -37,19 +37,19 @@
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(MESSAGE_LIMIT_BYTES).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec()
 }
 
 /// Accepts connections and passes each call to `handle_call`, until the future is dropped.
 ///
-/// `handle_call` should spawn a task for each call, since the calls of a connection are dispatched one by one.
+/// `handle_call` should spawn a task per call, since the calls of a connection are dispatched one by one.
 pub async fn serve<Req, Resp, F>(listener: TcpListener, key: Arc<str>, handle_call: F)
 where
     Req: RequestName + DeserializeOwned + Send + 'static,
     Resp: Serialize + Send + 'static,
     F: Fn(InFlightRequest<Req, Resp>) + Clone + Send + Sync + 'static,
 {
-    let connection_slots = Arc::new(Semaphore::new(CONNECTION_LIMIT));
+    let connection_slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // For example out of file descriptors: retry once other connections may have closed.
