--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the services around the scheduler, used by tests and by the daemon's standalone mode: the log
-//! service, a worker with its upstream, and the store and workers of the users' platform.
+//! Stand-ins for the services around the scheduler, used by tests and by the daemon's standalone mode: the
+//! log service, a worker with its upstream, and the store and workers of the users' platform.
 
 pub mod clock;
 pub mod command;
--- a/crates/standin/src/platform_store.rs
+++ b/crates/standin/src/platform_store.rs
@@ -1,6 +1,6 @@
 //! Stand-in for the store of the users' platform: partitions with offsets, keyed topics, conditional appends,
-//! producers with epochs, long polls, and faults that a test injects. Consumer groups are not implemented, since
-//! the project does not use them.
+//! producers with epochs, long polls, and faults that a test injects. Consumer groups are not implemented,
+//! since the project does not use them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/standin/src/platform_worker.rs
+++ b/crates/standin/src/platform_worker.rs
@@ -1,6 +1,6 @@
-//! Stand-in for a worker of the users' platform, with leases, fencing and numbered reports of ended runs. Gangs
-//! whose members wait for each other are not simulated: each run proceeds by itself. The text of a job sets the
-//! run time of its subtasks, as in `run_ms=300`; with the word `fails` in it, the runs fail at their end.
+//! Stand-in for a worker of the users' platform, with leases, fencing and numbered reports of ended runs.
+//! Gangs whose members wait for each other are not simulated: each run proceeds by itself. The text of a job
+//! sets the run time of its subtasks, as in `run_ms=300`; if it contains `fails`, the runs fail at their end.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -39,9 +39,9 @@
 
 /// Proves possession of `key` to the peer and verifies that the peer possesses it too.
 ///
-/// Each end sends a random challenge and answers the peer's with an HMAC over both challenges and its own role,
-/// so that neither a replayed nor a reflected answer is accepted. Later messages on the connection are neither
-/// encrypted nor authenticated.
+/// Each end sends a random challenge and answers the peer's with an HMAC over both challenges and its own
+/// role, so that neither a replayed nor a reflected answer is accepted. Later messages on the connection are
+/// neither encrypted nor authenticated.
 ///
 /// # Errors
 ///
