--- a/crates/control/src/agent.rs
+++ b/crates/control/src/agent.rs
@@ -7,7 +7,7 @@
 use futures::FutureExt;
 use futures::future::join_all;
 use http::{Method, StatusCode};
-use sorrelland_fleet::orders::{Pace, Start, Stop};
+use sorrelland_fleet::assignments::{Pace, Start, Stop};
 use sorrelland_platform::serve::{self, Answer, Call};
 use sorrelland_platform::worker::{Error, StartOrder, Started, announcement};
 use sorrelland_platform::{Settings, Store, WorkerClient};
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
+use sorrelland_fleet::assignments::Assignments;
 use sorrelland_fleet::job::{JobState, Submission};
-use sorrelland_fleet::orders::Orders;
 use sorrelland_fleet::report::Report;
 use sorrelland_fleet::view::Query;
 use sorrelland_wire::connect::{CallError, Connect, Pool, open, within};
@@ -77,7 +77,7 @@
         /// Epoch of the planner.
         epoch: u64,
         /// The wish.
-        orders: Option<Orders>,
+        orders: Option<Assignments>,
         /// Addresses of the entries, to ask when the planner is silent.
         entries: Vec<String>,
     },
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -381,8 +381,8 @@
         Timing {
             grant_ms,
             stop_ms: bounds.stop_ms,
-            unheard_ms: ALONE_MS + grant_ms + grant_ms / 50 + bounds.stop_ms,
-            keep_ended_ms: 2 * bounds.keep_ended_ms,
+            unreported_ms: ALONE_MS + grant_ms + grant_ms / 50 + bounds.stop_ms,
+            ended_retention_ms: 2 * bounds.keep_ended_ms,
             reclaim_ms: bounds.reclaim_ms,
         }
     }
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use sorrelland_fleet::Task;
-use sorrelland_fleet::orders::{Orders, Pace, Start, Stop};
-use sorrelland_fleet::report::{End, Gone, Report, Running, WorkerInfo};
+use sorrelland_fleet::assignments::{Assignments, Pace, Start, Stop};
+use sorrelland_fleet::report::{End, NotStarted, Report, Running, WorkerInfo};
 use sorrelland_platform::worker::{Announcement, Listing};
 
 /// Time of a grant that must be left for a start, in milliseconds: less would end before the next report.
@@ -33,7 +33,7 @@
     left: bool,
     past_lives: BTreeSet<String>,
     epoch: u64,
-    orders: Option<Orders>,
+    orders: Option<Assignments>,
     /// When the newest grant ends, on the agent's clock.
     granted_until: u64,
     /// Latest end that any lease on the worker may have, on the agent's clock.
@@ -66,12 +66,12 @@
 
     /// Takes in an announcement; returns whether anything changed that the planner should hear at once.
     pub fn announce(&mut self, now: u64, announcement: Announcement) -> bool {
-        let life = &announcement.info.life;
+        let life = &announcement.info.incarnation;
         if self.past_lives.contains(life) {
             return false;
         }
         match &self.announced {
-            Some(known) if known.info.life == *life => {
+            Some(known) if known.info.incarnation == *life => {
                 if announcement.sequence <= known.sequence {
                     return false;
                 }
@@ -102,7 +102,7 @@
 
     fn drop_life(&mut self) {
         if let Some(known) = self.announced.take() {
-            self.past_lives.insert(known.info.life);
+            self.past_lives.insert(known.info.incarnation);
         }
         let past_lives = std::mem::take(&mut self.past_lives);
         *self = Self {
@@ -142,7 +142,7 @@
 
     /// Returns the worker's life.
     pub fn life(&self) -> Option<&str> {
-        self.announced.as_ref().map(|known| known.info.life.as_str())
+        self.announced.as_ref().map(|known| known.info.incarnation.as_str())
     }
 
     /// Returns the fencing token for calls to the worker.
@@ -151,7 +151,7 @@
     }
 
     /// Takes in a planner's wish that answers a report sent at `sent`; returns whether it counts.
-    pub fn take_orders(&mut self, sent: u64, epoch: u64, orders: Option<Orders>) -> bool {
+    pub fn take_orders(&mut self, sent: u64, epoch: u64, orders: Option<Assignments>) -> bool {
         if epoch < self.epoch {
             return false;
         }
@@ -160,7 +160,7 @@
             self.orders = None;
         }
         let Some(orders) = orders else { return true };
-        if self.life() != Some(&orders.life) {
+        if self.life() != Some(&orders.incarnation) {
             return false;
         }
         if self.orders.as_ref().is_some_and(|known| known.number >= orders.number) {
@@ -244,7 +244,7 @@
 
     /// Returns the highest end that the planner has stored.
     pub fn seen(&self) -> u64 {
-        self.orders.as_ref().map_or(0, |orders| orders.seen)
+        self.orders.as_ref().map_or(0, |orders| orders.acknowledged)
     }
 
     /// Notes that a start is about to be ordered.
@@ -338,7 +338,7 @@
     /// Returns whether the worker lists ends that the planner has not stored yet; a look returns at once then.
     pub fn has_unconfirmed(&self) -> bool {
         let seen = self.seen();
-        self.ended.iter().any(|end| end.n > seen)
+        self.ended.iter().any(|end| end.number > seen)
     }
 
     /// Returns whether a run waits for a look that tells whether it was there.
@@ -355,14 +355,17 @@
                 run: *run,
                 saved: String::new(),
                 percent: 0,
-                figure: 0,
+                measurement: 0,
             },
         ));
-        let gone =
-            |((task, run), why): (&RunKey, &String)| Gone { task: task.clone(), run: *run, why: why.clone() };
+        let gone = |((task, run), why): (&RunKey, &String)| NotStarted {
+            task: task.clone(),
+            run: *run,
+            reason: why.clone(),
+        };
         Report {
             agent: agent.to_owned(),
-            agent_life,
+            agent_incarnation: agent_life,
             seq,
             worker: self
                 .announced
@@ -370,7 +373,7 @@
                 .map(|known| WorkerInfo { draining: known.info.draining || self.left, ..known.info.clone() }),
             running,
             ended: self.ended.clone(),
-            gone: self.gone.iter().map(gone).collect(),
+            not_started: self.gone.iter().map(gone).collect(),
         }
     }
 }
--- a/crates/control/src/seat.rs
+++ b/crates/control/src/seat.rs
@@ -4,11 +4,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use sorrelland_fleet::Room;
+use sorrelland_fleet::Resources;
+use sorrelland_fleet::assignments::Assignments;
 use sorrelland_fleet::desired::Desired;
 use sorrelland_fleet::job::{Step, Submission};
-use sorrelland_fleet::orders::Orders;
-use sorrelland_fleet::planner::{Planner, Timing, Verdict};
+use sorrelland_fleet::planner::{Admission, Planner, Timing};
 use sorrelland_fleet::report::Report;
 use sorrelland_platform::store::{Error, Writer, keyed};
 use sorrelland_platform::{Policy, Store};
@@ -55,7 +55,7 @@
     wake: Arc<Notify>,
     /// Life and number of the newest report.
     newest: (u64, u64),
-    told: Option<(u64, Orders)>,
+    told: Option<(u64, Assignments)>,
 }
 
 impl Seat {
@@ -131,14 +131,14 @@
         let (lines, poked) = {
             let mut planner = lock(&self.planner);
             planner.tick(now_ms(), wall_ms());
-            let (heard, known) = planner.agents_heard(now_ms());
+            let (heard, known) = planner.reporting_workers(now_ms());
             metrics::level("workers_heard", heard as u64);
             metrics::level("workers_known", known as u64);
             metrics::level("jobs_live", planner.live_jobs() as u64);
             if planner.has_questions() {
                 self.questions.notify_one();
             }
-            (planner.take_log(), planner.take_poked())
+            (planner.take_log(), planner.take_agents_to_wake())
         };
         for line in lines {
             log::info!("{line}");
@@ -170,8 +170,8 @@
                 }
                 let poked = {
                     let mut planner = lock(&self.planner);
-                    planner.note_stored(change);
-                    planner.take_poked_by_store()
+                    planner.record_stored(change);
+                    planner.take_agents_to_wake_after_store()
                 };
                 self.stored.send_replace(change);
                 self.poke(poked);
@@ -293,7 +293,7 @@
                     planner.submit(now_ms(), wall_ms(), &sub)
                 };
                 match verdict {
-                    Verdict::Refused { why, retry_after_ms } => {
+                    Admission::Refused { reason: why, retry_after_ms } => {
                         let Self { holder, .. } = self;
                         log::info!(
                             "event=refused job={} queue={} account={} epoch={} retry_after_ms={retry_after_ms} \
@@ -305,7 +305,7 @@
                         );
                         Told::Refused { why, retry_after_ms }
                     }
-                    Verdict::Accepted { change } => {
+                    Admission::Accepted { change } => {
                         // The placement goes into the same append as the job.
                         self.pass_now();
                         match self.wait_stored(change, wait).await {
@@ -344,14 +344,14 @@
 
     /// Takes an agent's report and returns the wish for its worker once it differs from what the agent was told,
     /// or after a while.
-    pub async fn report(&self, report: Report) -> Option<Option<Orders>> {
-        let (agent, life, seq) = (report.agent.clone(), report.agent_life, report.seq);
-        let news = !report.ended.is_empty() || !report.gone.is_empty();
+    pub async fn report(&self, report: Report) -> Option<Option<Assignments>> {
+        let (agent, life, seq) = (report.agent.clone(), report.agent_incarnation, report.seq);
+        let news = !report.ended.is_empty() || !report.not_started.is_empty();
         let joined = {
             let mut planner = lock(&self.planner);
-            let before = planner.agents_heard(now_ms()).1;
-            planner.report(now_ms(), wall_ms(), &report);
-            planner.agents_heard(now_ms()).1 != before
+            let before = planner.reporting_workers(now_ms()).1;
+            planner.apply_report(now_ms(), wall_ms(), &report);
+            planner.reporting_workers(now_ms()).1 != before
         };
         let wake = {
             let mut slots = lock(&self.agents);
@@ -375,7 +375,7 @@
             let woken = wake.notified();
             tokio::pin!(woken);
             woken.as_mut().enable();
-            let orders = lock(&self.planner).orders(now_ms(), &agent);
+            let orders = lock(&self.planner).assignments(now_ms(), &agent);
             let late = tokio::time::Instant::now() >= until;
             if late || self.differs(&agent, life, orders.as_ref()) || self.is_superseded(&agent, life, seq) {
                 return Some(orders);
@@ -391,7 +391,7 @@
     }
 
     /// Returns whether a wish differs from what a life of an agent was told last, and notes it as told.
-    fn differs(&self, agent: &str, life: u64, orders: Option<&Orders>) -> bool {
+    fn differs(&self, agent: &str, life: u64, orders: Option<&Assignments>) -> bool {
         let mut slots = lock(&self.agents);
         let (Some(slot), Some(orders)) = (slots.get_mut(agent), orders) else { return false };
         let told = slot.told.as_ref();
@@ -408,19 +408,19 @@
     let step = |step: &Step| {
         let flags = [
             (step.gang, "gang"),
-            (step.one_rack, "one_rack"),
-            (step.saves, "saves"),
+            (step.prefers_one_rack, "one_rack"),
+            (step.saves_progress, "saves"),
             (step.speculative, "speculative"),
-            (step.lasting, "lasting"),
-            (step.fills, "fills"),
+            (step.long_running, "lasting"),
+            (step.uses_idle_cpu, "fills"),
             (step.label.is_some(), "label"),
-            (step.near.is_some(), "near"),
-            (step.most_per_worker.is_some(), "spread"),
+            (step.preferred_rack.is_some(), "near"),
+            (step.max_per_worker.is_some(), "spread"),
             (step.target_ms.is_some(), "target"),
-            (!step.after.is_empty(), "after"),
+            (!step.depends_on.is_empty(), "after"),
         ];
         let flags: Vec<&str> = flags.iter().filter(|(on, _)| *on).map(|(_, name)| *name).collect();
-        let Room { millicores, memory_mb, accelerators } = step.room;
+        let Resources { millicores, memory_mb, accelerators } = step.resources;
         let (count, ms) = (step.count, step.estimate_ms);
         format!("{count}x{millicores}m/{memory_mb}MB/{accelerators}acc~{ms}ms:{}", flags.join("+"))
     };
@@ -430,7 +430,7 @@
 }
 
 /// Returns whether two wishes ask for the same.
-fn same_wish(one: &Orders, other: &Orders) -> bool {
-    let plain = |orders: &Orders| Orders { number: 0, grant_ms: 0, ..orders.clone() };
+fn same_wish(one: &Assignments, other: &Assignments) -> bool {
+    let plain = |orders: &Assignments| Assignments { number: 0, grant_ms: 0, ..orders.clone() };
     plain(one) == plain(other)
 }
--- a/crates/control/tests/histories.rs
+++ b/crates/control/tests/histories.rs
@@ -7,8 +7,8 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use sorrelland_control::lease::Watched;
 use sorrelland_fleet::Task;
-use sorrelland_fleet::orders::{Orders, Start, Stop};
-use sorrelland_fleet::report::{End, How, Running, WorkerInfo};
+use sorrelland_fleet::assignments::{Assignments, Start, Stop};
+use sorrelland_fleet::report::{End, EndReason, Running, WorkerInfo};
 use sorrelland_platform::worker::{Announcement, Listing};
 
 const LIFE: &str = "w-1";
@@ -95,12 +95,12 @@
 impl Worker {
     fn settle(&mut self, now: u64) {
         let lapsed = clock(now) > self.lease_until;
-        let over: Vec<(RunKey, How)> = self
+        let over: Vec<(RunKey, EndReason)> = self
             .running
             .iter()
             .filter_map(|(key, stop)| match stop {
-                Some(at) if *at <= now => Some((key.clone(), How::Stopped)),
-                _ if lapsed => Some((key.clone(), How::Lapsed)),
+                Some(at) if *at <= now => Some((key.clone(), EndReason::Stopped)),
+                _ if lapsed => Some((key.clone(), EndReason::Lapsed)),
                 _ => None,
             })
             .collect();
@@ -109,11 +109,11 @@
         }
     }
 
-    fn end(&mut self, key: &RunKey, how: How) {
+    fn end(&mut self, key: &RunKey, how: EndReason) {
         if self.running.remove(key).is_some() {
             self.ends += 1;
             let (task, run) = key.clone();
-            self.ended.push(End { n: self.ends, task, run, how, saved: String::new() });
+            self.ended.push(End { number: self.ends, task, run, reason: how, saved: String::new() });
             self.reject(key);
         }
     }
@@ -149,7 +149,7 @@
             run: *run,
             saved: String::new(),
             percent: 0,
-            figure: 0,
+            measurement: 0,
         };
         let running = self.running.keys().map(running).collect();
         Listing { clock_ms: clock(now), running, ended: self.ended.clone() }
@@ -198,7 +198,7 @@
     }
 
     fn announce(&mut self) {
-        let info = WorkerInfo { life: LIFE.to_owned(), ..WorkerInfo::default() };
+        let info = WorkerInfo { incarnation: LIFE.to_owned(), ..WorkerInfo::default() };
         self.watched.announce(self.now, Announcement { info, sequence: 1 + self.now });
     }
 
@@ -237,7 +237,7 @@
     /// Checks that nothing that was called gone is there.
     fn check(&mut self) {
         let report = self.watched.report("agent", self.agent_life, self.seq);
-        self.gone.extend(report.gone.iter().map(|gone| (gone.task.clone(), gone.run)));
+        self.gone.extend(report.not_started.iter().map(|gone| (gone.task.clone(), gone.run)));
         let there: Vec<&RunKey> = self.worker.running.keys().filter(|key| self.gone.contains(*key)).collect();
         assert!(there.is_empty(), "at {} ms: called gone, but there: {there:?}", self.now);
     }
@@ -247,11 +247,11 @@
         let report = self.watched.report("agent", self.agent_life, self.seq);
         self.check();
         let seen = self.seen;
-        for end in report.ended.iter().filter(|end| end.n > seen) {
+        for end in report.ended.iter().filter(|end| end.number > seen) {
             self.release(&end.task, end.run);
-            self.seen = end.n;
+            self.seen = end.number;
         }
-        for gone in &report.gone {
+        for gone in &report.not_started {
             self.release(&gone.task, gone.run);
         }
         let shown = |task: &Task, run: u64| report.running.iter().any(|r| r.task == *task && r.run == run);
@@ -271,7 +271,15 @@
         if answered {
             self.number += 1;
             let (life, number, seen) = (LIFE.to_owned(), self.number, self.seen);
-            let orders = Orders { life, number, grant_ms: GRANT_MS, starts, stops, paces: Vec::new(), seen };
+            let orders = Assignments {
+                incarnation: life,
+                number,
+                grant_ms: GRANT_MS,
+                starts,
+                stops,
+                paces: Vec::new(),
+                acknowledged: seen,
+            };
             self.watched.take_orders(self.now, 1, Some(orders));
         }
     }
@@ -327,7 +335,7 @@
             let most = clock(self.now) + LONGEST_LEASE_MS;
             self.worker.lease_until = self.worker.lease_until.max(lease_end.min(most));
         }
-        self.worker.ended.retain(|end| end.n > seen);
+        self.worker.ended.retain(|end| end.number > seen);
         let listing = self.worker.listing(self.now);
         match arrives_in {
             Some(0) => _ = self.watched.take_listing(self.now, number, LIFE, listing),
@@ -362,7 +370,7 @@
             Op::Fail(index) => {
                 let newest = self.worker.running.keys().rfind(|key| key.0 == Self::task(*index)).cloned();
                 if let Some(key) = newest {
-                    self.worker.end(&key, How::Failed);
+                    self.worker.end(&key, EndReason::Failed);
                 }
             }
         }
--- a/crates/control/tests/lease.rs
+++ b/crates/control/tests/lease.rs
@@ -2,7 +2,7 @@
 
 use sorrelland_control::lease::Watched;
 use sorrelland_fleet::Task;
-use sorrelland_fleet::orders::{Orders, Stop};
+use sorrelland_fleet::assignments::{Assignments, Stop};
 use sorrelland_fleet::report::{Running, WorkerInfo};
 use sorrelland_platform::worker::{Announcement, Listing};
 
@@ -11,7 +11,8 @@
 const STOP_MS: u64 = 400;
 
 fn announcement(sequence: u64) -> Announcement {
-    let info = WorkerInfo { life: LIFE.to_owned(), service: "svc".to_owned(), ..WorkerInfo::default() };
+    let info =
+        WorkerInfo { incarnation: LIFE.to_owned(), service: "svc".to_owned(), ..WorkerInfo::default() };
     Announcement { info, sequence }
 }
 
@@ -20,13 +21,13 @@
 }
 
 fn listing(clock_ms: u64) -> Listing {
-    let run = Running { task: task(), run: 1, saved: String::new(), percent: 10, figure: 0 };
+    let run = Running { task: task(), run: 1, saved: String::new(), percent: 10, measurement: 0 };
     Listing { clock_ms, running: vec![run], ended: Vec::new() }
 }
 
-fn stop_orders(number: u64) -> Orders {
+fn stop_orders(number: u64) -> Assignments {
     let stops = vec![Stop { task: task(), run: 1 }];
-    Orders { life: LIFE.to_owned(), number, grant_ms: 5_000, stops, ..Orders::default() }
+    Assignments { incarnation: LIFE.to_owned(), number, grant_ms: 5_000, stops, ..Assignments::default() }
 }
 
 #[test]
@@ -37,9 +38,9 @@
     watched.take_listing(10_010, look, LIFE, listing(500));
     // The life before may have extended the lease just before it ended.
     assert!(!watched.lapse(10_000 + GRANT_MS));
-    assert_eq!(watched.report("agent", 1, 1).gone, Vec::new());
+    assert_eq!(watched.report("agent", 1, 1).not_started, Vec::new());
     assert!(watched.lapse(10_000 + 2 * GRANT_MS));
-    assert_eq!(watched.report("agent", 1, 2).gone.len(), 1);
+    assert_eq!(watched.report("agent", 1, 2).not_started.len(), 1);
 }
 
 #[test]
--- a/crates/control/tests/seat.rs
+++ b/crates/control/tests/seat.rs
@@ -18,8 +18,13 @@
 use sorrelland_standin::platform_store;
 use sorrelland_web::Client;
 
-const TIMING: Timing =
-    Timing { grant_ms: 4_800, stop_ms: 400, unheard_ms: 11_000, keep_ended_ms: 240_000, reclaim_ms: 2_900 };
+const TIMING: Timing = Timing {
+    grant_ms: 4_800,
+    stop_ms: 400,
+    unreported_ms: 11_000,
+    ended_retention_ms: 240_000,
+    reclaim_ms: 2_900,
+};
 
 fn desired() -> Arc<Desired> {
     let queue = Queue {
--- a/crates/emul/src/check.rs
+++ b/crates/emul/src/check.rs
@@ -2,15 +2,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sorrelland_fleet::report::How;
-use sorrelland_fleet::{Room, Task};
+use sorrelland_fleet::report::EndReason;
+use sorrelland_fleet::{Resources, Task};
 
 /// What the workers saw, and what of it must not have been.
 #[derive(Debug, Default)]
 pub struct History {
     running: BTreeMap<Task, BTreeSet<u64>>,
     /// Ends as done that the planner has not confirmed, by worker's life.
-    unconfirmed: BTreeMap<String, Vec<(u64, Task, How)>>,
+    unconfirmed: BTreeMap<String, Vec<(u64, Task, EndReason)>>,
     /// Subtasks with an end as done that was listed, confirmed or not.
     ever_done: BTreeSet<Task>,
     done: BTreeSet<Task>,
@@ -44,9 +44,9 @@
     }
 
     /// Notes an end as a worker lists it.
-    pub fn ended(&mut self, now: u64, life: &str, n: u64, task: &Task, run: u64, how: How) {
+    pub fn ended(&mut self, now: u64, life: &str, n: u64, task: &Task, run: u64, how: EndReason) {
         self.over(now, task, run);
-        if how == How::Done {
+        if how == EndReason::Done {
             self.ever_done.insert(task.clone());
         }
         self.unconfirmed.entry(life.to_owned()).or_default().push((n, task.clone(), how));
@@ -59,10 +59,10 @@
         *ends = rest;
         for (_, task, how) in confirmed {
             match how {
-                How::Done => {
+                EndReason::Done => {
                     self.done.insert(task);
                 }
-                How::Failed => *self.failed.entry(task).or_default() += 1,
+                EndReason::Failed => *self.failed.entry(task).or_default() += 1,
                 _ => (),
             }
         }
@@ -74,7 +74,7 @@
     }
 
     /// Notes the room that runs take on a worker.
-    pub fn room(&mut self, now: u64, life: &str, capacity: &Room, used: &Room) {
+    pub fn room(&mut self, now: u64, life: &str, capacity: &Resources, used: &Resources) {
         let over = used.millicores > capacity.millicores
             || used.memory_mb > capacity.memory_mb
             || used.accelerators > capacity.accelerators;
--- a/crates/emul/src/load.rs
+++ b/crates/emul/src/load.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use sorrelland_fleet::Room;
+use sorrelland_fleet::Resources;
 use sorrelland_fleet::job::{Step, Submission};
 
 /// A kind of job.
@@ -201,17 +201,17 @@
         let off = 1.0 + of.estimate_off * (2.0 * self.chance() - 1.0);
         let step = Step {
             count,
-            room: Room::new(of.room.0, of.room.1, of.accelerators[pick]),
+            resources: Resources::new(of.room.0, of.room.1, of.accelerators[pick]),
             estimate_ms: (work_ms * off).max(100.0) as u64,
-            saves: self.chance() < of.saves,
+            saves_progress: self.chance() < of.saves,
             gang,
-            one_rack: gang && self.chance() < 0.7,
+            prefers_one_rack: gang && self.chance() < 0.7,
             ..Step::default()
         };
         let second = of.priority == 2 && self.chance() < 0.3;
         let mut steps = vec![step.clone()];
         if second {
-            steps.push(Step { after: vec![0], ..step });
+            steps.push(Step { depends_on: vec![0], ..step });
         }
         let truth = Truth {
             kind,
--- a/crates/emul/src/run.rs
+++ b/crates/emul/src/run.rs
@@ -5,7 +5,7 @@
 
 use sorrelland_fleet::desired::{Account, Desired, Queue, Service};
 use sorrelland_fleet::job::{JobState, Outcome, Step};
-use sorrelland_fleet::planner::{Planner, Timing, Verdict};
+use sorrelland_fleet::planner::{Admission, Planner, Timing};
 use sorrelland_fleet::{Submission, Task};
 
 use crate::check::History;
@@ -72,8 +72,8 @@
     Timing {
         grant_ms,
         stop_ms: load.stop_ms,
-        unheard_ms: 6_000 + grant_ms + grant_ms / 50 + load.stop_ms,
-        keep_ended_ms: 240_000,
+        unreported_ms: 6_000 + grant_ms + grant_ms / 50 + load.stop_ms,
+        ended_retention_ms: 240_000,
         reclaim_ms: 2_900,
     }
 }
@@ -133,8 +133,8 @@
                 if (now / STEP_MS + at as u64).is_multiple_of(REPORT_EVERY_MS / STEP_MS) {
                     let agent = world.nodes[at].agent.clone();
                     if let Some(report) = world.report(now, at) {
-                        planner.report(now, now, &report);
-                        if let Some(orders) = planner.orders(now, &agent) {
+                        planner.apply_report(now, now, &report);
+                        if let Some(orders) = planner.assignments(now, &agent) {
                             world.obey(now, at, &orders, &jobs, &mut history);
                         }
                     }
@@ -206,8 +206,8 @@
             }
             caller.tries += 1;
             match planner.submit(now, now, &caller.sub) {
-                Verdict::Accepted { .. } => caller.next_ms = now + 1_000,
-                Verdict::Refused { retry_after_ms, .. } => caller.next_ms = now + retry_after_ms,
+                Admission::Accepted { .. } => caller.next_ms = now + 1_000,
+                Admission::Refused { retry_after_ms, .. } => caller.next_ms = now + retry_after_ms,
             }
         }
         let Some(state) = planner.state(&job) else { continue };
--- a/crates/emul/src/store.rs
+++ b/crates/emul/src/store.rs
@@ -32,7 +32,7 @@
                     false => self.records.insert(key, value),
                 };
             }
-            planner.note_stored(change);
+            planner.record_stored(change);
         }
     }
 
--- a/crates/emul/src/world.rs
+++ b/crates/emul/src/world.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sorrelland_fleet::orders::Orders;
-use sorrelland_fleet::report::{End, Gone, How, Report, Running, WorkerInfo};
-use sorrelland_fleet::{Room, Task};
+use sorrelland_fleet::assignments::Assignments;
+use sorrelland_fleet::report::{End, EndReason, NotStarted, Report, Running, WorkerInfo};
+use sorrelland_fleet::{Resources, Task};
 
 use crate::check::History;
 use crate::load::{Source, Truth};
@@ -42,7 +42,7 @@
     at: usize,
     rack: String,
     speed: f64,
-    capacity: Room,
+    capacity: Resources,
     /// Until when its agent hears and says nothing.
     pub cut_until: u64,
     /// Whether every run on it fails.
@@ -88,7 +88,7 @@
             at,
             rack: format!("r{}", at / RACK),
             speed: [0.8, 1.0, 1.25][at % 3],
-            capacity: Room::new(128_000, 262_144, 8),
+            capacity: Resources::new(128_000, 262_144, 8),
             cut_until: 0,
             broken: false,
             draining: false,
@@ -129,19 +129,19 @@
             run: *run,
             saved: if state.saved_ms > 0.0 { format!("{:.0}", state.saved_ms) } else { String::new() },
             percent: 0,
-            figure: 0,
+            measurement: 0,
         });
-        let gone = node.gone.iter().map(|((task, run), why)| Gone {
+        let gone = node.gone.iter().map(|((task, run), why)| NotStarted {
             task: task.clone(),
             run: *run,
-            why: why.clone(),
+            reason: why.clone(),
         });
         Some(Report {
             agent: node.agent.clone(),
-            agent_life: 1 + at as u64,
+            agent_incarnation: 1 + at as u64,
             seq: node.seq,
             worker: Some(WorkerInfo {
-                life: node.life_name(),
+                incarnation: node.life_name(),
                 service: "service".to_owned(),
                 domain: "domain".to_owned(),
                 labels: vec!["a".to_owned(), node.rack.clone()],
@@ -151,19 +151,26 @@
             }),
             running: running.collect(),
             ended: node.ended.clone(),
-            gone: gone.collect(),
+            not_started: gone.collect(),
         })
     }
 
     /// Carries out a planner's wish.
-    pub fn obey(&mut self, now: u64, at: usize, orders: &Orders, jobs: &Jobs<'_>, history: &mut History) {
+    pub fn obey(
+        &mut self,
+        now: u64,
+        at: usize,
+        orders: &Assignments,
+        jobs: &Jobs<'_>,
+        history: &mut History,
+    ) {
         let node = &mut self.nodes[at];
-        if orders.life != node.life_name() {
+        if orders.incarnation != node.life_name() {
             return;
         }
         node.lease_until = node.lease_until.max(now + orders.grant_ms);
-        node.ended.retain(|end| end.n > orders.seen);
-        history.confirmed(&node.life_name(), orders.seen);
+        node.ended.retain(|end| end.number > orders.acknowledged);
+        history.confirmed(&node.life_name(), orders.acknowledged);
         let wanted: Vec<RunKey> = orders
             .starts
             .iter()
@@ -202,9 +209,9 @@
             node.runs.insert(key, run);
             history.started(now, &start.task, start.run);
         }
-        let used = node.runs.keys().fold(Room::default(), |mut used, (task, _)| {
+        let used = node.runs.keys().fold(Resources::default(), |mut used, (task, _)| {
             if let Some(step) = jobs.steps.get(&task.job).and_then(|steps| steps.get(task.step as usize)) {
-                used += step.counted();
+                used += step.reserved();
             }
             used
         });
@@ -238,7 +245,7 @@
             if lapsed {
                 history.lapsed(&node.life_name());
             }
-            let mut over: Vec<(RunKey, How)> = Vec::new();
+            let mut over: Vec<(RunKey, EndReason)> = Vec::new();
             for (key, run) in &mut node.runs {
                 let (task, number) = key;
                 let Some(step) = jobs.steps.get(&task.job).and_then(|steps| steps.get(task.step as usize))
@@ -250,19 +257,19 @@
                 let (members, racks) =
                     present.get(&unit).map_or((0, 0), |(members, racks)| (*members, racks.len()));
                 if lapsed {
-                    over.push((key.clone(), How::Lapsed));
+                    over.push((key.clone(), EndReason::Lapsed));
                     continue;
                 }
                 if run.stopping.is_some_and(|until| now >= until) {
-                    if step.saves {
+                    if step.saves_progress {
                         run.saved_ms = run.done_ms;
                     }
-                    over.push((key.clone(), How::Stopped));
+                    over.push((key.clone(), EndReason::Stopped));
                     continue;
                 }
                 if step.gang && members < step.count {
                     if now > run.began + GANG_WAIT_MS {
-                        over.push((key.clone(), How::Alone));
+                        over.push((key.clone(), EndReason::Alone));
                     }
                     continue;
                 }
@@ -270,18 +277,18 @@
                     // The first member's progress stands for all: they end together.
                     continue;
                 }
-                let slow = if step.one_rack && racks > 1 { REMOTE } else { 1.0 };
+                let slow = if step.prefers_one_rack && racks > 1 { REMOTE } else { 1.0 };
                 run.done_ms += step_ms as f64 * node.speed / slow;
-                if step.saves {
+                if step.saves_progress {
                     run.saved_ms = (run.done_ms / SAVE_MS).floor() * SAVE_MS;
                 }
                 let work = truth.work_ms.get(task.step as usize).copied().unwrap_or(1_000) as f64;
                 let fails = truth.poison || node.broken;
                 if fails && run.done_ms >= work / 4.0 {
-                    over.push((key.clone(), How::Failed));
+                    over.push((key.clone(), EndReason::Failed));
                 } else if run.done_ms >= work {
                     let unlucky = source.chance() < errors.get(truth.kind).copied().unwrap_or(0.0);
-                    over.push((key.clone(), if unlucky { How::Failed } else { How::Done }));
+                    over.push((key.clone(), if unlucky { EndReason::Failed } else { EndReason::Done }));
                 }
             }
             for (key, how) in over {
@@ -301,7 +308,7 @@
         }
         // What ends one member of a gang ends the others.
         for (job, occurrence, step, run, how) in broken_units {
-            let how = if how == How::Done { How::Done } else { How::Broken };
+            let how = if how == EndReason::Done { EndReason::Done } else { EndReason::Broken };
             for node in &mut self.nodes {
                 let members: Vec<RunKey> = node
                     .runs
@@ -341,11 +348,11 @@
     }
 }
 
-fn end_run(node: &mut Node, now: u64, key: &RunKey, how: How, history: &mut History) {
+fn end_run(node: &mut Node, now: u64, key: &RunKey, how: EndReason, history: &mut History) {
     let Some(run) = node.runs.remove(key) else { return };
     node.ends += 1;
     let saved = if run.saved_ms > 0.0 { format!("{:.0}", run.saved_ms) } else { String::new() };
     let (task, number) = key;
-    node.ended.push(End { n: node.ends, task: task.clone(), run: *number, how, saved });
+    node.ended.push(End { number: node.ends, task: task.clone(), run: *number, reason: how, saved });
     history.ended(now, &node.life_name(), node.ends, task, *number, how);
 }
--- a/crates/fleet/src/admit.rs
+++ b/crates/fleet/src/admit.rs
@@ -6,8 +6,8 @@
 use crate::job::{Job, Submission};
 use crate::place::accelerators_at_once;
 use crate::planner::Planner;
-use crate::room::Room;
-use crate::unit::Where;
+use crate::resources::Resources;
+use crate::unit::UnitState;
 
 /// When to come back after a refusal that only a larger fleet would change, in milliseconds.
 const NEVER_FITS_RETRY_MS: u64 = 60_000;
@@ -40,7 +40,7 @@
     pub fn chain_from_ms(&self, step: u32) -> u64 {
         let steps = &self.sub.steps;
         let own = steps.get(step as usize).map_or(0, |step| step.estimate_ms);
-        let next = (0..).zip(steps).filter(|(at, next)| *at > step && next.after.contains(&step));
+        let next = (0..).zip(steps).filter(|(at, next)| *at > step && next.depends_on.contains(&step));
         own + next.map(|(at, _)| self.chain_from_ms(at)).max().unwrap_or(0)
     }
 }
@@ -49,7 +49,7 @@
 pub fn chain_ms(sub: &Submission) -> u64 {
     let mut ends: Vec<u64> = Vec::new();
     for step in &sub.steps {
-        let begin = step.after.iter().filter_map(|before| ends.get(*before as usize)).max();
+        let begin = step.depends_on.iter().filter_map(|before| ends.get(*before as usize)).max();
         ends.push(begin.copied().unwrap_or(0) + step.estimate_ms);
     }
     ends.into_iter().max().unwrap_or(0)
@@ -62,7 +62,7 @@
 /// Returns the reason, and when to come back.
 pub fn admit(planner: &Planner, now: u64, sub: &Submission) -> Result<(), Refusal> {
     fits_at_all(planner, sub)?;
-    if sub.schedule.is_some() || sub.steps.iter().any(|step| step.lasting) {
+    if sub.schedule.is_some() || sub.steps.iter().any(|step| step.long_running) {
         return Ok(());
     }
     if is_guaranteed(planner, sub) {
@@ -94,8 +94,8 @@
         return Ok(());
     }
     for (at, step) in sub.steps.iter().enumerate() {
-        let need = step.counted();
-        let most = step.most_per_worker.map_or(i64::MAX, i64::from);
+        let need = step.reserved();
+        let most = step.max_per_worker.map_or(i64::MAX, i64::from);
         let allowed = workers().filter(|worker| step.label.as_deref().is_none_or(|l| worker.has_label(l)));
         let slots: i64 = allowed.map(|worker| worker.info.capacity.copies_of(&need).min(most)).sum();
         let wanted = if step.gang { i64::from(step.count) } else { 1 };
@@ -113,7 +113,7 @@
     let capacity = planner.capacity_of(&queue.service);
     let fillable = |all: i64| (all * FILLABLE_MILLI / 1_000).max(1);
     // Room-milliseconds of work ahead, each resource by itself; the scarcest decides.
-    let mut ahead = Room::default();
+    let mut ahead = Resources::default();
     for name in &planner.live {
         let Some(job) = planner.jobs.get(name).filter(|job| job.outcome.is_none()) else { continue };
         let theirs = planner.desired.queue(&job.sub.queue);
@@ -123,13 +123,13 @@
         for (key, unit) in &job.units {
             let Some(step) = job.sub.steps.get(key.step as usize) else { continue };
             let members = if step.gang { i64::from(step.count) } else { 1 };
-            let rest = match unit.at {
-                Where::Done => continue,
-                Where::Placed => step.estimate_ms.saturating_sub(now.saturating_sub(unit.since)),
-                Where::Waiting | Where::Ending => step.estimate_ms,
+            let rest = match unit.state {
+                UnitState::Done => continue,
+                UnitState::Placed => step.estimate_ms.saturating_sub(now.saturating_sub(unit.since)),
+                UnitState::Waiting | UnitState::Ending => step.estimate_ms,
             };
-            if !step.lasting {
-                ahead += step.counted() * members * rest as i64;
+            if !step.long_running {
+                ahead += step.reserved() * members * rest as i64;
             }
         }
     }
--- a/crates/fleet/src/advice.rs
+++ b/crates/fleet/src/advice.rs
@@ -79,11 +79,12 @@
             .workers
             .values()
             .filter(|worker| {
-                worker.info.service == service && !worker.info.draining && open(&worker.info.life)
+                worker.info.service == service && !worker.info.draining && open(&worker.info.incarnation)
             })
             .collect();
         workers.sort_by_key(|worker| std::cmp::Reverse(worker.free().weight()));
-        let lives: Vec<String> = workers.iter().take(WORKERS_ASKED).map(|w| w.info.life.clone()).collect();
+        let lives: Vec<String> =
+            workers.iter().take(WORKERS_ASKED).map(|w| w.info.incarnation.clone()).collect();
         (!lives.is_empty()).then_some((step, lives))
     }
 
@@ -105,7 +106,7 @@
         self.approvals.refused.entry(step.clone()).or_default().extend(refused.cloned());
         self.approvals.asked_at.remove(step);
         let (job, occurrence, number) = step;
-        self.note(format!(
+        self.log_line(format!(
             "event=approved job={job} step={job}.{occurrence}.{number} asked={} admitted={}",
             asked.len(),
             admitted.len()
--- /dev/null
+++ b/crates/fleet/src/apply_report.rs
@@ -0,0 +1,292 @@
+//! Applies agents' reports: running and ended runs, and worker incarnations that were replaced.
+
+use std::collections::BTreeSet;
+
+use crate::job::{Job, Outcome, Step};
+use crate::planner::{Agent, Planner, mark_ending, set_state};
+use crate::report::{End, EndReason, NotStarted, Report};
+use crate::task::Task;
+use crate::unit::{Unit, UnitKey, UnitState};
+use crate::worker::Worker;
+
+/// Maximum number of ended agent or worker incarnations that are remembered: enough for years of restarts while one
+/// planner is active.
+const MAX_PAST_INCARNATIONS: usize = 20_000;
+
+/// Reason of a start that was refused because its approval was not accepted.
+pub const APPROVAL_REFUSED: &str = "ticket";
+
+impl Planner {
+    /// Applies the report of an agent. Reports of ended incarnations and reports that arrive out of order are ignored.
+    pub fn apply_report(&mut self, now: u64, wall: u64, report: &Report) {
+        if self.past_agent_incarnations.contains(&report.agent_incarnation) {
+            return;
+        }
+        let known = self.agents.get(&report.agent);
+        if known.is_some_and(|agent| agent.incarnation == report.agent_incarnation && agent.seq >= report.seq)
+        {
+            return;
+        }
+        let before = known.cloned();
+        if let Some(agent) = &before
+            && agent.incarnation != report.agent_incarnation
+        {
+            bounded_insert(&mut self.past_agent_incarnations, agent.incarnation);
+        }
+        let mut worker = before.and_then(|agent| agent.worker);
+        if let Some(info) = &report.worker {
+            if self.past_worker_incarnations.contains(&info.incarnation) {
+                return;
+            }
+            if let Some(old) = worker.replace(info.incarnation.clone()).filter(|old| *old != info.incarnation)
+            {
+                self.end_incarnation(now, wall, &old, "its worker was replaced by a new incarnation");
+            }
+            self.end_older_incarnations(now, wall, &report.agent, &info.incarnation);
+            self.apply_worker_report(now, wall, report);
+        }
+        let agent = Agent { incarnation: report.agent_incarnation, seq: report.seq, worker };
+        self.agents.insert(report.agent.clone(), agent);
+    }
+
+    /// Ends the runs that stored jobs still have on older incarnations of the same agent's worker.
+    fn end_older_incarnations(&mut self, now: u64, wall: u64, agent: &str, incarnation: &str) {
+        if self.unreported.is_empty() {
+            return;
+        }
+        self.unreported.remove(incarnation);
+        let members = self.live.iter().filter_map(|name| self.jobs.get(name));
+        let members = members.flat_map(|job| job.units.values()).flat_map(|unit| &unit.members);
+        let older: BTreeSet<String> = members
+            .filter(|member| !member.released && member.agent == agent && member.worker != incarnation)
+            .map(|member| member.worker.clone())
+            .collect();
+        for old in older {
+            self.end_incarnation(now, wall, &old, "its worker was replaced by a new incarnation");
+        }
+    }
+
+    fn apply_worker_report(&mut self, now: u64, wall: u64, report: &Report) {
+        let Some(info) = &report.worker else { return };
+        let incarnation = info.incarnation.clone();
+        if !self.workers.contains_key(&incarnation) {
+            let mut worker = Worker::new(info.clone(), report.agent.clone(), now);
+            self.adopt_members(&mut worker);
+            self.log_line(format!("event=worker_joined worker={incarnation} agent={}", report.agent));
+            self.workers.insert(incarnation.clone(), worker);
+        }
+        let running = report.running.iter().map(|run| ((run.task.clone(), run.run), run.clone())).collect();
+        let Some(worker) = self.workers.get_mut(&incarnation) else { return };
+        if info.draining && !worker.info.draining {
+            let remaining_ms = info.remaining_ms.unwrap_or(0);
+            self.log.push(format!("event=worker_draining worker={incarnation} remaining_ms={remaining_ms}"));
+        }
+        worker.info = info.clone();
+        worker.last_report_at = now;
+        worker.running = running;
+        let applied_ends = worker.ends.0;
+        for run in &report.running {
+            self.record_running(&incarnation, &run.task, run.run, run.percent, &run.saved);
+        }
+        for end in report.ended.iter().filter(|end| end.number > applied_ends) {
+            let changed = self.record_end(now, wall, &incarnation, end);
+            let change = self.change;
+            if let Some(worker) = self.workers.get_mut(&incarnation) {
+                worker.ends = (end.number, if changed { change } else { worker.ends.1 });
+                self.agents_to_wake_by_change.insert((worker.ends.1, worker.agent.clone()));
+            }
+        }
+        for entry in &report.not_started {
+            self.record_not_started(now, wall, &incarnation, entry);
+        }
+    }
+
+    /// Reserves resources for the members that stored jobs have on a newly reported worker.
+    fn adopt_members(&self, worker: &mut Worker) {
+        for name in &self.live {
+            let Some(job) = self.jobs.get(name) else { continue };
+            for (key, unit) in &job.units {
+                let Some(step) = job.sub.steps.get(key.step as usize) else { continue };
+                for (offset, member) in unit.members.iter().enumerate() {
+                    if !member.released && member.worker == worker.info.incarnation {
+                        worker.used += step.reserved();
+                        worker.placed.insert((key.task(name, offset), unit.run));
+                    }
+                }
+            }
+        }
+    }
+
+    /// Returns the key of the unit that a subtask belongs to, and its offset within the unit.
+    pub(crate) fn unit_of(&self, task: &Task) -> Option<(UnitKey, usize)> {
+        let step = self.jobs.get(&task.job)?.sub.steps.get(task.step as usize)?;
+        let (index, offset) = if step.gang { (0, task.index as usize) } else { (task.index, 0) };
+        Some((UnitKey { occurrence: task.occurrence, step: task.step, index }, offset))
+    }
+
+    /// Returns the job, unit key and offset of a run that occupies resources on a worker incarnation.
+    fn member_mut(&mut self, incarnation: &str, task: &Task, run: u64) -> Option<(&mut Job, UnitKey, usize)> {
+        let (key, offset) = self.unit_of(task)?;
+        let job = self.jobs.get_mut(&task.job)?;
+        let unit = job.units.get(&key).filter(|unit| unit.run == run)?;
+        let member = unit.members.get(offset)?;
+        (member.worker == incarnation && !member.released).then_some((job, key, offset))
+    }
+
+    fn record_running(&mut self, incarnation: &str, task: &Task, run: u64, percent: u64, saved: &str) {
+        let Some((job, key, offset)) = self.member_mut(incarnation, task, run) else { return };
+        let first_start = !job.started;
+        job.started = true;
+        if let Some(unit) = job.units.get_mut(&key) {
+            if !saved.is_empty() {
+                unit.saved = saved.to_owned();
+            }
+            if let Some(member) = unit.members.get_mut(offset) {
+                member.seen = true;
+                member.percent = percent;
+            }
+        }
+        if first_start {
+            self.mark_changed(&task.job);
+        }
+    }
+
+    /// Applies the end of a run; returns whether anything changed.
+    fn record_end(&mut self, now: u64, wall: u64, incarnation: &str, end: &End) -> bool {
+        let max_failures = self.max_attempts(&end.task.job);
+        let Some((job, key, _)) = self.member_mut(incarnation, &end.task, end.run) else { return false };
+        job.started = true;
+        let long_running = job.sub.steps.get(key.step as usize).is_some_and(|step| step.long_running);
+        let Some(unit) = job.units.get_mut(&key) else { return false };
+        if !end.saved.is_empty() {
+            unit.saved = end.saved.clone();
+        }
+        let mut failed = false;
+        match end.reason {
+            EndReason::Done if !long_running => set_state(unit, UnitState::Done, now),
+            EndReason::Failed => {
+                unit.failures += 1;
+                unit.failed_on.push(incarnation.to_owned());
+                failed = !long_running && unit.failures >= max_failures;
+                mark_ending(unit, now);
+            }
+            EndReason::Done
+            | EndReason::Stopped
+            | EndReason::Lapsed
+            | EndReason::Broken
+            | EndReason::Alone => mark_ending(unit, now),
+        }
+        let fails = unit.failures;
+        self.log_line(format!(
+            "event=run_ended job={} task={} run={} how={:?} worker={incarnation} fails={fails}",
+            end.task.job, end.task, end.run, end.reason
+        ));
+        if let Some(worker) = self.workers.get_mut(incarnation) {
+            match end.reason {
+                EndReason::Done => worker.record_success(),
+                EndReason::Failed => worker.record_failure(now),
+                _ => (),
+            }
+        }
+        self.release_member(now, incarnation, &end.task, end.run);
+        if failed {
+            self.end_job(now, wall, &end.task.job, Outcome::Failed);
+        }
+        self.complete_if_done(now, wall, &end.task.job);
+        true
+    }
+
+    fn record_not_started(&mut self, now: u64, wall: u64, incarnation: &str, entry: &NotStarted) {
+        let Some((job, key, _)) = self.member_mut(incarnation, &entry.task, entry.run) else { return };
+        if let Some(unit) = job.units.get_mut(&key) {
+            mark_ending(unit, now);
+        }
+        if entry.reason == APPROVAL_REFUSED {
+            self.approvals.spoil(&Self::step_of(&entry.task), incarnation);
+        }
+        let (task, run, reason) = (&entry.task, entry.run, &entry.reason);
+        self.log_line(format!(
+            "event=run_gone job={} task={task} run={run} worker={incarnation} why={reason:?}",
+            task.job
+        ));
+        self.release_member(now, incarnation, task, run);
+        self.complete_if_done(now, wall, &task.job);
+    }
+
+    /// Releases the resources of a member; a unit that is ending waits again once all members are released.
+    fn release_member(&mut self, now: u64, incarnation: &str, task: &Task, run: u64) {
+        let Some((key, offset)) = self.unit_of(task) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let reserved = job.sub.steps.get(key.step as usize).map(Step::reserved);
+        let Some(unit) = job.units.get_mut(&key) else { return };
+        if let Some(member) = unit.members.get_mut(offset) {
+            member.released = true;
+        }
+        let ending = unit.state == UnitState::Ending;
+        if unit.all_released() {
+            unit.members.clear();
+            if unit.state == UnitState::Ending {
+                set_state(unit, UnitState::Waiting, now);
+            }
+        }
+        if let Some(worker) = self.workers.get_mut(incarnation)
+            && worker.placed.remove(&(task.clone(), run))
+        {
+            worker.used -= reserved.unwrap_or_default();
+            worker.paces.remove(&(task.clone(), run));
+        }
+        if ending {
+            self.wake_member_agents(&task.job, key);
+        }
+        self.mark_changed(&task.job);
+        self.retire(&task.job);
+    }
+
+    /// Removes an ended job from the live jobs once it occupies no resources.
+    pub(crate) fn retire(&mut self, name: &str) {
+        let finished = |job: &Job| job.outcome.is_some() && job.units.values().all(Unit::all_released);
+        if self.jobs.get(name).is_some_and(finished) {
+            self.live.remove(name);
+        }
+    }
+
+    /// Removes a worker incarnation for good and ignores its later reports.
+    fn end_incarnation(&mut self, now: u64, wall: u64, incarnation: &str, reason: &str) {
+        self.remove_incarnation(now, wall, incarnation, reason);
+        bounded_insert(&mut self.past_worker_incarnations, incarnation.to_owned());
+    }
+
+    pub(crate) fn remove_incarnation(&mut self, now: u64, wall: u64, incarnation: &str, reason: &str) {
+        self.unreported.remove(incarnation);
+        let mut lost = Vec::new();
+        for name in &self.live {
+            let Some(job) = self.jobs.get(name) else { continue };
+            for (key, unit) in &job.units {
+                for (offset, member) in unit.members.iter().enumerate() {
+                    if !member.released && member.worker == incarnation {
+                        lost.push(NotStarted {
+                            task: key.task(name, offset),
+                            run: unit.run,
+                            reason: reason.to_owned(),
+                        });
+                    }
+                }
+            }
+        }
+        for entry in &lost {
+            self.record_not_started(now, wall, incarnation, entry);
+        }
+        self.workers.remove(incarnation);
+        self.log_line(format!(
+            "event=worker_lost worker={incarnation} runs_lost={} why={reason:?}",
+            lost.len()
+        ));
+    }
+}
+
+fn bounded_insert<T: Ord>(set: &mut BTreeSet<T>, item: T) {
+    if set.len() >= MAX_PAST_INCARNATIONS {
+        set.pop_first();
+    }
+    set.insert(item);
+}
--- a/crates/fleet/src/orders.rs
+++ b/crates/fleet/src/assignments.rs
@@ -1,26 +1,28 @@
-//! What the planner wants of a worker, told to its agent.
+//! Assignments of a worker, sent by the planner to the worker's agent.
 
 use serde::{Deserialize, Serialize};
 
 use crate::task::Task;
 
-/// The planner's wish for one worker. It is the whole wish each time, so a lost answer loses nothing.
+/// Complete assignments of one worker. Every reply carries all of them, so a lost reply loses nothing.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
-    /// Life of the worker that is meant.
-    pub life: String,
-    /// Rises with every answer of a planner; an agent ignores older ones.
+pub struct Assignments {
+    /// Incarnation of the worker that the assignments apply to.
+    #[serde(rename = "life")]
+    pub incarnation: String,
+    /// Increases with every reply of a planner; agents ignore older replies.
     pub number: u64,
-    /// Time that the agent may keep the worker's lease alive, in milliseconds from the sending of its report.
+    /// Time for which the agent may renew the worker's lease, in milliseconds from the sending of its report.
     pub grant_ms: u64,
-    /// Runs to start that the report did not show.
+    /// Runs to start that the last report did not list as running.
     pub starts: Vec<Start>,
     /// Runs to stop.
     pub stops: Vec<Stop>,
-    /// Shares of speed to set for runs.
+    /// Speed shares to set for runs.
     pub paces: Vec<Pace>,
-    /// Ends up to this number are stored and may be forgotten by the worker.
-    pub seen: u64,
+    /// Ends up to this number are stored; the worker may discard them.
+    #[serde(rename = "seen")]
+    pub acknowledged: u64,
 }
 
 /// A run to start.
@@ -30,11 +32,11 @@
     pub task: Task,
     /// Number of its run.
     pub run: u64,
-    /// Text that the caller handed in.
+    /// Job specification, as submitted.
     pub spec: String,
-    /// Saved progress to continue from; empty for none.
+    /// Saved progress to continue from; empty if there is none.
     pub saved: String,
-    /// Approval of the policy service, where one is needed.
+    /// Approval of the policy service, if one is needed.
     pub ticket: Option<String>,
 }
 
@@ -47,13 +49,13 @@
     pub run: u64,
 }
 
-/// A share of speed for a run.
+/// Speed share of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pace {
     /// The subtask.
     pub task: Task,
     /// Number of its run.
     pub run: u64,
-    /// Share in percent.
+    /// Share of full speed, in percent.
     pub percent: u64,
 }
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -1,148 +1,157 @@
-//! Jobs and their steps.
+//! Jobs, their steps and schedules.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::room::Room;
-use crate::unit::{Unit, UnitKey, Where};
+use crate::resources::Resources;
+use crate::unit::{Unit, UnitKey, UnitState};
 
-/// What a caller hands in.
+/// A job as submitted by a caller.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
     /// Name that the caller chose.
     pub job: String,
-    /// Queue that the job was sent to.
+    /// Queue that the job was submitted to.
     pub queue: String,
     /// Client account of the caller; empty on a public queue without a key.
     pub account: String,
-    /// Text that every start of the job carries unchanged.
+    /// Opaque job specification, passed unchanged with every start.
     pub spec: String,
-    /// Steps in the order of their numbers.
+    /// Steps; a step's number is its index.
     pub steps: Vec<Step>,
-    /// When and how often the steps run; `None` runs them once, now.
+    /// When and how often the steps run; `None` runs them once, immediately.
     pub schedule: Option<Schedule>,
 }
 
-/// Occurrences of a job on time.
+/// Times at which a job runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// Number of occurrences.
+    /// Number of occurrences; 0 counts as 1.
     pub occurrences: u32,
-    /// Time of the first, in milliseconds since 1970.
+    /// Time of the first occurrence, in milliseconds since 1970.
     pub first_ms: u64,
-    /// Time between two, in milliseconds.
+    /// Time between occurrences, in milliseconds.
     pub interval_ms: u64,
 }
 
-/// Subtasks of one shape.
+/// A group of identical subtasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// Number of subtasks.
     pub count: u32,
-    /// Room that each needs.
-    pub room: Room,
-    /// Rough duration of a subtask, in milliseconds.
+    /// Resources that each subtask needs.
+    #[serde(rename = "room")]
+    pub resources: Resources,
+    /// Estimated duration of a subtask, in milliseconds.
     pub estimate_ms: u64,
-    /// Steps that have to be done before.
-    pub after: Vec<u32>,
-    /// Whether subtasks save their progress.
-    pub saves: bool,
-    /// Whether the subtasks work only all together.
+    /// Numbers of the steps that must be done first.
+    #[serde(rename = "after")]
+    pub depends_on: Vec<u32>,
+    /// Whether subtasks save progress from which a later run can continue.
+    #[serde(rename = "saves")]
+    pub saves_progress: bool,
+    /// Whether the subtasks must all run at the same time.
     pub gang: bool,
-    /// Whether the subtasks are slowed down when they are spread over racks.
-    pub one_rack: bool,
-    /// Label that a worker must have.
+    /// Whether the subtasks run slower when spread over several racks.
+    #[serde(rename = "one_rack")]
+    pub prefers_one_rack: bool,
+    /// Label that a worker must carry.
     pub label: Option<String>,
     /// Rack on which the subtasks run at full speed.
-    pub near: Option<String>,
-    /// Subtasks of the step on one worker at most.
-    pub most_per_worker: Option<u32>,
-    /// Whether copies may run side by side.
+    #[serde(rename = "near")]
+    pub preferred_rack: Option<String>,
+    /// Maximum number of the step's subtasks on one worker.
+    #[serde(rename = "most_per_worker")]
+    pub max_per_worker: Option<u32>,
+    /// Whether copies of a subtask may run concurrently.
     pub speculative: bool,
     /// Whether the subtasks run until the job is cancelled.
-    pub lasting: bool,
-    /// What the subtasks run; the same image behaves alike.
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
+    /// Image that the subtasks run; subtasks of the same image behave alike.
     pub image: Option<String>,
-    /// Bound of the tail latency that a lasting subtask should keep, in milliseconds.
+    /// Target for the tail latency of a long-running subtask, in milliseconds.
     pub target_ms: Option<u64>,
-    /// Whether the subtasks live on processor that others leave unused.
-    pub fills: bool,
-    /// Subtasks of a lasting step that may be away at a time by the system's own actions.
-    pub may_miss: Option<u32>,
+    /// Whether the subtasks use only CPU time that other runs leave idle.
+    #[serde(rename = "fills")]
+    pub uses_idle_cpu: bool,
+    /// Maximum number of subtasks of a long-running step that the system's own actions may make unavailable at a time.
+    #[serde(rename = "may_miss")]
+    pub max_unavailable: Option<u32>,
 }
 
 impl Step {
-    /// Returns the room that a subtask takes from a worker's capacity.
-    pub fn counted(&self) -> Room {
-        match self.fills {
-            true => Room { millicores: 0, ..self.room },
-            false => self.room,
+    /// Returns the resources that a subtask reserves on a worker; idle CPU is not reserved.
+    pub fn reserved(&self) -> Resources {
+        match self.uses_idle_cpu {
+            true => Resources { millicores: 0, ..self.resources },
+            false => self.resources,
         }
     }
 }
 
-/// How a job ended.
+/// Final outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Every subtask has ended as done.
+    /// Every subtask ended with its result.
     Completed,
-    /// A subtask or gang has used up its attempts.
+    /// A subtask or gang exhausted its attempts.
     Failed,
     /// The caller cancelled it.
     Cancelled,
 }
 
-/// What a caller is told of a job.
+/// State of a job as reported to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Nothing has started yet.
+    /// No subtask has started yet.
     Queued,
-    /// Something has started.
+    /// At least one subtask has started.
     Running,
-    /// The job has ended.
+    /// The job has ended with this outcome.
     Ended(Outcome),
 }
 
 /// An accepted job with its progress.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What was handed in.
+    /// The job as submitted.
     pub sub: Submission,
     /// When it was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// Units by occurrence, step and first index.
+    /// Units by occurrence, step and index of their first subtask.
     pub units: BTreeMap<UnitKey, Unit>,
-    /// How the job ended.
+    /// Final outcome; `None` until the job has ended.
     pub outcome: Option<Outcome>,
     /// When it ended, in milliseconds since 1970.
     pub ended_ms: u64,
-    /// Whether anything has ever started.
-    pub begun: bool,
-    /// Change of the planner with which the caller may see the outcome once it is stored.
+    /// Whether any subtask has ever started.
+    pub started: bool,
+    /// Number of the change that must be stored before callers may see the outcome.
     pub ended_in: u64,
-    /// Change of the planner with which the job was accepted.
+    /// Number of the change that must be stored before callers may see the job.
     pub accepted_in: u64,
-    /// Whether runs of others were ended for it.
-    pub room_made: bool,
+    /// Whether runs of other jobs were preempted for it.
+    pub preempted_others: bool,
 }
 
 impl Job {
-    /// Returns the number of occurrences.
+    /// Returns the number of occurrences, at least 1.
     pub fn occurrences(&self) -> u32 {
         self.sub.schedule.map_or(1, |schedule| schedule.occurrences.max(1))
     }
 
-    /// Returns when an occurrence may start, in milliseconds since 1970; `None` for at once.
+    /// Returns the earliest start of an occurrence in milliseconds since 1970; `None` if it may start immediately.
     pub fn due_ms(&self, occurrence: u32) -> Option<u64> {
         let schedule = self.sub.schedule?;
         Some(schedule.first_ms.saturating_add(schedule.interval_ms.saturating_mul(u64::from(occurrence))))
     }
 
-    /// Returns whether all units of a step of an occurrence are done.
+    /// Returns whether a step of an occurrence has units and all of them are done.
     pub fn step_done(&self, occurrence: u32, step: u32) -> bool {
         let mut units = self.units_of(occurrence, step).peekable();
-        units.peek().is_some() && units.all(|(_, unit)| unit.at == Where::Done)
+        units.peek().is_some() && units.all(|(_, unit)| unit.state == UnitState::Done)
     }
 
     /// Returns the units of a step of an occurrence.
@@ -152,25 +161,25 @@
         self.units.range(from..=to)
     }
 
-    /// Returns whether the steps before a step are done, and its time has come.
-    pub fn turn_has_come(&self, key: UnitKey, wall: u64) -> bool {
+    /// Returns whether a unit's occurrence is due and the steps that its step depends on are done.
+    pub fn is_ready(&self, key: UnitKey, wall: u64) -> bool {
         let Some(step) = self.sub.steps.get(key.step as usize) else { return false };
         self.due_ms(key.occurrence).is_none_or(|due| wall >= due)
-            && step.after.iter().all(|before| self.step_done(key.occurrence, *before))
+            && step.depends_on.iter().all(|before| self.step_done(key.occurrence, *before))
     }
 
-    /// Creates the units of an occurrence that do not exist yet.
-    pub fn open(&mut self, occurrence: u32) {
-        for (at, step) in (0..).zip(&self.sub.steps) {
-            let firsts = if step.gang { 1 } else { step.count };
-            for index in 0..firsts {
-                self.units.entry(UnitKey { occurrence, step: at, index }).or_default();
+    /// Creates the missing units of an occurrence.
+    pub fn create_units(&mut self, occurrence: u32) {
+        for (number, step) in (0..).zip(&self.sub.steps) {
+            let unit_count = if step.gang { 1 } else { step.count };
+            for index in 0..unit_count {
+                self.units.entry(UnitKey { occurrence, step: number, index }).or_default();
             }
         }
     }
 
-    /// Returns whether the job runs until it is cancelled.
-    pub fn lasts(&self) -> bool {
-        self.sub.steps.iter().any(|step| step.lasting)
+    /// Returns whether a step of the job runs until the job is cancelled.
+    pub fn is_long_running(&self) -> bool {
+        self.sub.steps.iter().any(|step| step.long_running)
     }
 }
--- a/crates/fleet/src/place.rs
+++ b/crates/fleet/src/place.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::job::{Step, Submission};
-use crate::planner::{HEARD_WITHIN_MS, Planner};
+use crate::planner::{MAX_REPORT_AGE_MS, Planner};
 use crate::preempt;
-use crate::room::Room;
-use crate::unit::{UnitKey, Where};
+use crate::resources::Resources;
+use crate::unit::{UnitKey, UnitState};
 use crate::value::{Prospect, Times, earnable, work_core_s};
 use crate::worker::Worker;
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 struct Claim {
     workers: Vec<String>,
-    each: Room,
+    each: Resources,
     /// Whether a guarantee covers the unit; only such a claim holds against another that is covered.
     guaranteed: bool,
     until: u64,
@@ -57,7 +57,7 @@
         candidate: &Candidate,
         key: UnitKey,
         workers: Vec<String>,
-        each: Room,
+        each: Resources,
         now: u64,
     ) {
         let claim = Claim { workers, each, guaranteed: candidate.guaranteed, until: now + CLAIM_MS };
@@ -104,7 +104,7 @@
 /// Room left on the workers that may be used, while a pass goes on.
 pub struct Offer<'a> {
     /// Workers by life with the room that is left.
-    pub left: BTreeMap<&'a str, (&'a Worker, Room)>,
+    pub left: BTreeMap<&'a str, (&'a Worker, Resources)>,
 }
 
 impl Planner {
@@ -113,7 +113,7 @@
         let jobs = &self.jobs;
         self.claims.expire(now, |name, key| {
             let unit = jobs.get(name).filter(|job| job.outcome.is_none()).and_then(|job| job.units.get(&key));
-            unit.is_some_and(|unit| unit.at == Where::Waiting)
+            unit.is_some_and(|unit| unit.state == UnitState::Waiting)
         });
         let candidates = self.candidates(now, wall);
         self.want_approvals(now, &candidates);
@@ -121,7 +121,7 @@
             let (name, key) = (&candidate.job, candidate.key);
             if let Some(lives) = self.find(now, wall, &candidate) {
                 self.claims.remove(name, key);
-                self.place(now, name, key, &lives);
+                self.place_unit(now, name, key, &lives);
             } else if !self.claims.has(name, key) {
                 preempt::make_room(self, now, wall, &candidate);
             }
@@ -131,7 +131,7 @@
     /// Asks for approvals of the steps that need them and have none that can be used.
     fn want_approvals(&mut self, now: u64, candidates: &[Candidate]) {
         for candidate in candidates {
-            if self.queue_of(&candidate.job).is_some_and(|queue| queue.advised) {
+            if self.queue_of(&candidate.job).is_some_and(|queue| queue.needs_approval) {
                 let step = (candidate.job.clone(), candidate.key.occurrence, candidate.key.step);
                 let any = self.workers.keys().any(|life| self.approvals.usable(&step, life, now).is_some());
                 if !any {
@@ -152,7 +152,7 @@
             let work = work_core_s(&job.sub).max(1.0);
             let worth = self.mean_work(&job.sub.queue).worth(queue.priority, work);
             for (key, unit) in &job.units {
-                if unit.at != Where::Waiting || !job.turn_has_come(*key, wall) {
+                if unit.state != UnitState::Waiting || !job.is_ready(*key, wall) {
                     continue;
                 }
                 let Some(step) = job.sub.steps.get(key.step as usize) else { continue };
@@ -162,7 +162,7 @@
                 candidates.push(Candidate {
                     job: name.clone(),
                     key: *key,
-                    priority: if step.fills { u32::MAX } else { queue.priority },
+                    priority: if step.uses_idle_cpu { u32::MAX } else { queue.priority },
                     guaranteed,
                     prospect,
                     worth,
@@ -207,14 +207,15 @@
     pub fn offer<'a>(&'a self, now: u64, candidate: &Candidate, step: &Step) -> Offer<'a> {
         let Some(queue) = self.queue_of(&candidate.job) else { return Offer { left: BTreeMap::new() } };
         let approved = (candidate.job.clone(), candidate.key.occurrence, candidate.key.step);
-        let mut left: BTreeMap<&str, (&Worker, Room)> = self
+        let mut left: BTreeMap<&str, (&Worker, Resources)> = self
             .workers
             .values()
             .filter(|worker| worker.info.service == queue.service && usable(worker, step, now))
             .filter(|worker| {
-                !queue.advised || self.approvals.usable(&approved, &worker.info.life, now).is_some()
+                !queue.needs_approval
+                    || self.approvals.usable(&approved, &worker.info.incarnation, now).is_some()
             })
-            .map(|worker| (worker.info.life.as_str(), (worker, worker.free())))
+            .map(|worker| (worker.info.incarnation.as_str(), (worker, worker.free())))
             .collect();
         for ((name, key), claim) in &self.claims.by_unit {
             let own = name == &candidate.job && *key == candidate.key;
@@ -256,7 +257,7 @@
 
     /// Returns whether a unit that can still wait would take accelerators that are kept free for urgent jobs.
     pub(crate) fn leaves_no_reserve(&self, now: u64, wall: u64, candidate: &Candidate, step: &Step) -> bool {
-        let urgent = self.urgent_at.is_some_and(|at| now <= at + URGENT_WITHIN_MS);
+        let urgent = self.last_urgent_at.is_some_and(|at| now <= at + URGENT_WITHIN_MS);
         if !urgent || candidate.priority == 0 || wall + RESERVE_SLACK_MS >= candidate.start_by {
             return false;
         }
@@ -266,12 +267,12 @@
         let free = workers().filter(|worker| usable(worker, &Step::default(), now));
         let free: i64 = free.map(|worker| worker.free().accelerators.max(0)).sum();
         let members = if step.gang { i64::from(step.count) } else { 1 };
-        free - step.counted().accelerators * members < all * RESERVE_MILLI / 1_000
+        free - step.reserved().accelerators * members < all * RESERVE_MILLI / 1_000
     }
 
     /// Leaves only room for as many more subtasks of a step as its limit per worker allows.
     fn limit_per_worker(&self, offer: &mut Offer<'_>, candidate: &Candidate, step: &Step) {
-        let Some(most) = step.most_per_worker else { return };
+        let Some(most) = step.max_per_worker else { return };
         let (occurrence, number) = (candidate.key.occurrence, candidate.key.step);
         offer.left.retain(|_, (worker, _)| {
             let same = worker.placed.iter().filter(|(task, _)| {
@@ -284,21 +285,21 @@
 
 /// Returns the accelerators that the widest step of a job takes.
 pub fn accelerators_at_once(sub: &Submission) -> i64 {
-    sub.steps.iter().map(|step| step.room.accelerators * i64::from(step.count)).max().unwrap_or(0)
+    sub.steps.iter().map(|step| step.resources.accelerators * i64::from(step.count)).max().unwrap_or(0)
 }
 
 /// Returns whether a worker may take new work of a step at all.
 pub fn usable(worker: &Worker, step: &Step, now: u64) -> bool {
     !worker.info.draining
-        && worker.out_until <= now
-        && worker.heard_at + HEARD_WITHIN_MS >= now
+        && worker.ejected_until <= now
+        && worker.last_report_at + MAX_REPORT_AGE_MS >= now
         && step.label.as_deref().is_none_or(|label| worker.has_label(label))
 }
 
 fn find_single(offer: &Offer<'_>, step: &Step, patient: bool) -> Option<Vec<String>> {
-    let need = step.counted();
-    let fits = offer.left.iter().filter(|(_, (_, room))| room.holds(&need));
-    let near = |worker: &Worker| step.near.as_deref().is_none_or(|rack| worker.has_label(rack));
+    let need = step.reserved();
+    let fits = offer.left.iter().filter(|(_, (_, room))| room.can_fit(&need));
+    let near = |worker: &Worker| step.preferred_rack.as_deref().is_none_or(|rack| worker.has_label(rack));
     let best = fits.min_by_key(|(_, (worker, room))| (!near(worker), left_over(room, &need, worker)))?;
     // Only a rack with workers of its own is worth waiting for.
     let near_exists = offer.left.values().any(|(worker, _)| near(worker));
@@ -309,10 +310,10 @@
 }
 
 /// Returns the room that would be left, accelerators first: the tightest fit keeps whole workers whole.
-fn left_over(room: &Room, need: &Room, worker: &Worker) -> (i64, i64) {
+fn left_over(room: &Resources, need: &Resources, worker: &Worker) -> (i64, i64) {
     let mut rest = *room;
     rest -= *need;
-    let idle = i64::from(worker.used == Room::default());
+    let idle = i64::from(worker.used == Resources::default());
     match need.accelerators {
         0 => (rest.accelerators + idle, rest.millicores),
         _ => (rest.accelerators, rest.millicores),
@@ -320,11 +321,11 @@
 }
 
 fn find_gang(offer: &Offer<'_>, step: &Step, patient: bool, must_begin: bool) -> Option<Vec<String>> {
-    let mut racks: BTreeMap<&str, Vec<(&Worker, Room)>> = BTreeMap::new();
+    let mut racks: BTreeMap<&str, Vec<(&Worker, Resources)>> = BTreeMap::new();
     for (worker, room) in offer.left.values() {
         racks.entry(worker.rack()).or_default().push((worker, *room));
     }
-    let near = |rack: &str| step.near.as_deref().is_none_or(|wanted| wanted == rack);
+    let near = |rack: &str| step.preferred_rack.as_deref().is_none_or(|wanted| wanted == rack);
     let within = racks.iter().filter_map(|(rack, workers)| {
         let lives = fill(workers, step)?;
         let rest: i64 = workers.iter().map(|(_, room)| room.accelerators).sum();
@@ -333,28 +334,28 @@
     if let Some((_, lives)) = within.min_by_key(|(order, _)| *order) {
         return Some(lives);
     }
-    let possible = |workers: &Vec<(&Worker, Room)>| {
+    let possible = |workers: &Vec<(&Worker, Resources)>| {
         let empty: Vec<_> = workers.iter().map(|(worker, _)| (*worker, worker.info.capacity)).collect();
         fill(&empty, step).is_some()
     };
-    if step.one_rack && !must_begin && (patient || racks.values().any(possible)) {
+    if step.prefers_one_rack && !must_begin && (patient || racks.values().any(possible)) {
         return None;
     }
-    let all: Vec<(&Worker, Room)> = offer.left.values().copied().collect();
+    let all: Vec<(&Worker, Resources)> = offer.left.values().copied().collect();
     fill(&all, step)
 }
 
 /// Returns a worker for each member of a gang, the tightest fits first, or nothing if they don't all fit.
-pub fn fill(workers: &[(&Worker, Room)], step: &Step) -> Option<Vec<String>> {
-    let need = step.counted();
-    let most = step.most_per_worker.map_or(i64::MAX, i64::from);
-    let mut order: Vec<_> = workers.iter().filter(|(_, room)| room.holds(&need)).collect();
-    order.sort_by_key(|(worker, room)| (room.accelerators, room.millicores, worker.info.life.clone()));
+pub fn fill(workers: &[(&Worker, Resources)], step: &Step) -> Option<Vec<String>> {
+    let need = step.reserved();
+    let most = step.max_per_worker.map_or(i64::MAX, i64::from);
+    let mut order: Vec<_> = workers.iter().filter(|(_, room)| room.can_fit(&need)).collect();
+    order.sort_by_key(|(worker, room)| (room.accelerators, room.millicores, worker.info.incarnation.clone()));
     let mut lives = Vec::new();
     for (worker, room) in order {
         let wanted = i64::from(step.count) - lives.len() as i64;
         let here = room.copies_of(&need).min(most).min(wanted);
-        lives.extend((0..here).map(|_| worker.info.life.clone()));
+        lives.extend((0..here).map(|_| worker.info.incarnation.clone()));
     }
     (lives.len() == step.count as usize).then_some(lives)
 }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: the jobs, the workers, and everything that changes them.
+//! State of the planner and the operations that change it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,56 +9,56 @@
 use crate::job::{Job, JobState, Outcome, Step, Submission};
 use crate::place::Claims;
 use crate::record::{self, Record, new_job};
-use crate::room::Room;
-use crate::unit::{Unit, UnitKey, Where};
+use crate::resources::Resources;
+use crate::unit::{Unit, UnitKey, UnitState};
 use crate::value::{MeanWork, Successes, work_core_s};
 use crate::view::Refusals;
 use crate::worker::Worker;
 
-/// Time within which an agent must have been heard for new placements on its worker, in milliseconds.
-pub const HEARD_WITHIN_MS: u64 = 1_600;
+/// Maximum age of an agent's last report for new placements on its worker, in milliseconds.
+pub const MAX_REPORT_AGE_MS: u64 = 1_600;
 
-/// Figures of the deployment that the decisions use, in milliseconds.
+/// Deployment-specific durations, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Time for which an agent may keep a lease alive after a report.
+    /// Time for which an agent may renew its worker's lease after sending a report.
     pub grant_ms: u64,
-    /// Longest time that a stop takes.
+    /// Maximum time that it takes to stop a run.
     pub stop_ms: u64,
-    /// Time after which a worker that a new planner has not heard of holds no lease any more.
-    pub unheard_ms: u64,
-    /// Time for which the state of an ended job is kept.
-    pub keep_ended_ms: u64,
-    /// Bound within which urgent jobs under a guarantee begin.
+    /// Time after which a worker that has not reported to a new planner no longer holds a lease.
+    pub unreported_ms: u64,
+    /// Retention period of ended jobs.
+    pub ended_retention_ms: u64,
+    /// Maximum time until an urgent job covered by a guarantee starts.
     pub reclaim_ms: u64,
 }
 
-/// What became of a submission.
+/// Result of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// The job is accepted once the change is stored.
     Accepted {
-        /// Change to wait for.
+        /// Number of the change that must be stored.
         change: u64,
     },
-    /// The job is not accepted and never ran.
+    /// The job was rejected and nothing of it ran.
     Refused {
-        /// Why, for the caller and the logs.
-        why: String,
-        /// When to come back, in milliseconds.
+        /// Reason for the caller and the logs.
+        reason: String,
+        /// Delay before the caller should retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// An agent as the planner knows it.
+/// Last report and worker of an agent.
 #[derive(Clone, Debug)]
 pub(crate) struct Agent {
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) seq: u64,
     pub(crate) worker: Option<String>,
 }
 
-/// All that a planner knows.
+/// In-memory state of the planner.
 pub struct Planner {
     pub(crate) timing: Timing,
     pub(crate) desired: Arc<Desired>,
@@ -67,44 +67,47 @@
     pub(crate) claims: Claims,
     pub(crate) approvals: Approvals,
     pub(crate) mean_work: BTreeMap<String, MeanWork>,
-    /// By queue.
+    /// On-time results of jobs that preempted others, by queue.
     pub(crate) successes: BTreeMap<String, Successes>,
     pub(crate) agents: BTreeMap<String, Agent>,
-    pub(crate) past_agents: BTreeSet<u64>,
-    pub(crate) past_workers: BTreeSet<String>,
-    /// Workers' lives that may still run something but were not heard of, with the time they are waited for.
-    pub(crate) unheard: BTreeMap<String, u64>,
-    /// Jobs that have not ended or whose members still take room.
+    pub(crate) past_agent_incarnations: BTreeSet<u64>,
+    pub(crate) past_worker_incarnations: BTreeSet<String>,
+    /// Worker incarnations that may still run members of stored jobs but have not reported to this planner, with the
+    /// time at which their runs are considered lost.
+    pub(crate) unreported: BTreeMap<String, u64>,
+    /// Jobs that have not ended or whose members still occupy resources.
     pub(crate) live: BTreeSet<String>,
-    /// When the newest urgent job came, on the steady clock.
-    pub(crate) urgent_at: Option<u64>,
+    /// When the newest urgent job was submitted, on the monotonic clock.
+    pub(crate) last_urgent_at: Option<u64>,
+    /// Number of the change that is being collected.
     pub(crate) change: u64,
+    /// Number of the newest stored change.
     pub(crate) stored: u64,
-    fresh: BTreeSet<String>,
-    dirty: BTreeSet<String>,
-    drops: Vec<Record>,
-    pub(crate) order_number: u64,
-    /// Agents whose wish changed.
-    pub(crate) poked: BTreeSet<String>,
-    /// Agents whose wish changes once a change is stored.
-    pub(crate) poked_by: BTreeSet<(u64, String)>,
+    new_jobs: BTreeSet<String>,
+    changed_jobs: BTreeSet<String>,
+    removals: Vec<Record>,
+    pub(crate) assignments_number: u64,
+    /// Agents whose assignments changed, independent of pending writes.
+    pub(crate) agents_to_wake: BTreeSet<String>,
+    /// Agents whose assignments change once the given change is stored.
+    pub(crate) agents_to_wake_by_change: BTreeSet<(u64, String)>,
     pub(crate) log: Vec<String>,
     pub(crate) refusals: Refusals,
 }
 
 impl Planner {
-    /// Creates a planner over the jobs that were stored.
+    /// Creates a planner from the stored jobs.
     pub fn new(timing: Timing, desired: Arc<Desired>, jobs: Vec<Job>, now: u64) -> Self {
-        let mut unheard = BTreeMap::new();
+        let mut unreported = BTreeMap::new();
         let mut live = BTreeSet::new();
         for job in &jobs {
-            let members = job.units.values().flat_map(|unit| &unit.members).filter(|member| !member.gone);
-            let mut takes_room = false;
+            let members = job.units.values().flat_map(|unit| &unit.members).filter(|member| !member.released);
+            let mut occupies_resources = false;
             for member in members {
-                takes_room = true;
-                unheard.insert(member.worker.clone(), now + timing.unheard_ms);
+                occupies_resources = true;
+                unreported.insert(member.worker.clone(), now + timing.unreported_ms);
             }
-            if takes_room || job.outcome.is_none() {
+            if occupies_resources || job.outcome.is_none() {
                 live.insert(job.sub.job.clone());
             }
         }
@@ -118,77 +121,77 @@
             mean_work: BTreeMap::new(),
             successes: BTreeMap::new(),
             agents: BTreeMap::new(),
-            past_agents: BTreeSet::new(),
-            past_workers: BTreeSet::new(),
-            unheard,
+            past_agent_incarnations: BTreeSet::new(),
+            past_worker_incarnations: BTreeSet::new(),
+            unreported,
             live,
-            urgent_at: None,
+            last_urgent_at: None,
             change: 1,
             stored: 0,
-            fresh: BTreeSet::new(),
-            dirty: BTreeSet::new(),
-            drops: Vec::new(),
-            order_number: 0,
-            poked: BTreeSet::new(),
-            poked_by: BTreeSet::new(),
+            new_jobs: BTreeSet::new(),
+            changed_jobs: BTreeSet::new(),
+            removals: Vec::new(),
+            assignments_number: 0,
+            agents_to_wake: BTreeSet::new(),
+            agents_to_wake_by_change: BTreeSet::new(),
             log: Vec::new(),
             refusals: Refusals::new(),
         }
     }
 
-    /// Replaces the desired state; an older version is ignored.
+    /// Replaces the desired state; a version that is not newer is ignored.
     pub fn set_desired(&mut self, desired: Arc<Desired>) {
         if desired.version > self.desired.version {
             self.desired = desired;
         }
     }
 
-    /// Takes the lines that explain decisions since the last call.
+    /// Drains the log lines written since the last call.
     pub fn take_log(&mut self) -> Vec<String> {
         std::mem::take(&mut self.log)
     }
 
-    /// Takes the agents whose wish has changed, whatever is stored.
-    pub fn take_poked(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.poked).into_iter().collect()
+    /// Drains the agents whose assignments changed, independent of what is stored.
+    pub fn take_agents_to_wake(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.agents_to_wake).into_iter().collect()
     }
 
-    /// Takes the agents whose wish has changed by what is stored now.
-    pub fn take_poked_by_store(&mut self) -> Vec<String> {
-        let later = self.poked_by.split_off(&(self.stored + 1, String::new()));
-        let due = std::mem::replace(&mut self.poked_by, later);
+    /// Drains the agents whose assignments changed because a change is now stored.
+    pub fn take_agents_to_wake_after_store(&mut self) -> Vec<String> {
+        let later = self.agents_to_wake_by_change.split_off(&(self.stored + 1, String::new()));
+        let due = std::mem::replace(&mut self.agents_to_wake_by_change, later);
         due.into_iter().map(|(_, agent)| agent).collect()
     }
 
-    /// Notes that the members of a unit are to be stopped.
-    pub(crate) fn poke_members(&mut self, name: &str, key: UnitKey) {
+    /// Schedules a wake-up of the agents that have unreleased members of a unit, so that they fetch their assignments.
+    pub(crate) fn wake_member_agents(&mut self, name: &str, key: UnitKey) {
         let unit = self.jobs.get(name).and_then(|job| job.units.get(&key));
-        let members = unit.into_iter().flat_map(|unit| &unit.members).filter(|member| !member.gone);
+        let members = unit.into_iter().flat_map(|unit| &unit.members).filter(|member| !member.released);
         let agents: Vec<String> = members.map(|member| member.agent.clone()).collect();
-        self.poked.extend(agents);
+        self.agents_to_wake.extend(agents);
     }
 
-    pub(crate) fn note(&mut self, line: String) {
+    pub(crate) fn log_line(&mut self, line: String) {
         self.log.push(line);
     }
 
-    /// Takes what has to be stored, with the number of the change it belongs to.
+    /// Drains the records that must be stored, together with their change number.
     pub fn take_changes(&mut self) -> Option<(Vec<Record>, u64)> {
-        if self.dirty.is_empty() && self.fresh.is_empty() && self.drops.is_empty() {
+        if self.changed_jobs.is_empty() && self.new_jobs.is_empty() && self.removals.is_empty() {
             return None;
         }
-        let mut records = std::mem::take(&mut self.drops);
-        let fresh = std::mem::take(&mut self.fresh);
-        let dirty = std::mem::take(&mut self.dirty);
+        let mut records = std::mem::take(&mut self.removals);
+        let submitted = std::mem::take(&mut self.new_jobs);
+        let changed = std::mem::take(&mut self.changed_jobs);
         let jobs = |names: &BTreeSet<String>| {
             names.iter().filter_map(|name| self.jobs.get(name)).collect::<Vec<_>>()
         };
-        let read = jobs(&fresh).into_iter().map(record::submitted);
-        let read = read.chain(jobs(&dirty).into_iter().map(record::progress)).collect::<Vec<_>>();
-        for record in read {
+        let encoded = jobs(&submitted).into_iter().map(record::submitted);
+        let encoded = encoded.chain(jobs(&changed).into_iter().map(record::progress)).collect::<Vec<_>>();
+        for record in encoded {
             match record {
                 Ok(record) => records.push(record),
-                // Plain structs always have a JSON form; a failure would be a fault of the code.
+                // Serializing plain structs to JSON does not fail; an error here is a bug.
                 Err(e) => self.log.push(format!("event=record_failed cause=\"{e}\"")),
             }
         }
@@ -197,42 +200,42 @@
         Some((records, change))
     }
 
-    /// Notes that all changes up to `change` are stored.
-    pub fn note_stored(&mut self, change: u64) {
+    /// Records that all changes up to `change` are stored.
+    pub fn record_stored(&mut self, change: u64) {
         self.stored = self.stored.max(change);
     }
 
-    /// Returns the newest change that is stored.
+    /// Returns the number of the newest stored change.
     pub fn stored(&self) -> u64 {
         self.stored
     }
 
-    pub(crate) fn touch(&mut self, name: &str) {
-        self.dirty.insert(name.to_owned());
+    pub(crate) fn mark_changed(&mut self, name: &str) {
+        self.changed_jobs.insert(name.to_owned());
     }
 
-    /// Takes a job in, or refuses it at once. A job that is known already stays one job.
-    pub fn submit(&mut self, now: u64, wall: u64, sub: &Submission) -> Verdict {
+    /// Accepts or refuses a job. Submitting a known job again is idempotent.
+    pub fn submit(&mut self, now: u64, wall: u64, sub: &Submission) -> Admission {
         if let Some(job) = self.jobs.get(&sub.job) {
-            return Verdict::Accepted { change: job.accepted_in };
+            return Admission::Accepted { change: job.accepted_in };
         }
         if let Err(refusal) = admit::admit(self, now, sub) {
             self.remember_refusal(wall, sub, &refusal.why, refusal.retry_after_ms);
-            return Verdict::Refused { why: refusal.why, retry_after_ms: refusal.retry_after_ms };
+            return Admission::Refused { reason: refusal.why, retry_after_ms: refusal.retry_after_ms };
         }
         if self.desired.queue(&sub.queue).is_some_and(|queue| queue.priority == 0) {
-            self.urgent_at = Some(now);
+            self.last_urgent_at = Some(now);
         }
         self.mean_work.entry(sub.queue.clone()).or_default().note(work_core_s(sub));
         let mut job = new_job(sub.clone(), wall);
         job.accepted_in = self.change;
         self.jobs.insert(sub.job.clone(), job);
         self.live.insert(sub.job.clone());
-        self.fresh.insert(sub.job.clone());
-        Verdict::Accepted { change: self.change }
+        self.new_jobs.insert(sub.job.clone());
+        Admission::Accepted { change: self.change }
     }
 
-    /// Cancels a job and returns the change to wait for; `None` if no such job exists.
+    /// Cancels a job and returns the change that must be stored; `None` if the job is unknown.
     pub fn cancel(&mut self, now: u64, wall: u64, name: &str) -> Option<u64> {
         let job = self.jobs.get(name)?;
         if job.outcome.is_some() {
@@ -242,31 +245,32 @@
         Some(self.change)
     }
 
-    /// Returns what a caller is told of a job; an end is told once it is stored.
+    /// Returns the state of a job as callers may see it: acceptance and outcome become visible once they are stored.
     pub fn state(&self, name: &str) -> Option<JobState> {
         let job = self.jobs.get(name).filter(|job| job.accepted_in <= self.stored)?;
         match job.outcome {
             Some(outcome) if job.ended_in <= self.stored => Some(JobState::Ended(outcome)),
-            _ if job.begun => Some(JobState::Running),
+            _ if job.started => Some(JobState::Running),
             _ => Some(JobState::Queued),
         }
     }
 
-    /// Returns the number of a queue's accepted jobs of which nothing has started.
+    /// Returns the number of accepted jobs in a queue that have not started.
     pub fn pending(&self, queue: &str) -> usize {
-        let waiting = |job: &&Job| job.sub.queue == queue && job.outcome.is_none() && !job.begun;
+        let waiting = |job: &&Job| job.sub.queue == queue && job.outcome.is_none() && !job.started;
         self.live.iter().filter_map(|name| self.jobs.get(name)).filter(waiting).count()
     }
 
-    /// Returns the number of jobs that have not ended, or of which something still takes room.
+    /// Returns the number of jobs that have not ended or still occupy resources.
     pub fn live_jobs(&self) -> usize {
         self.live.len()
     }
 
-    /// Returns the number of agents heard within [`HEARD_WITHIN_MS`] and of all that were heard in this reign.
-    pub fn agents_heard(&self, now: u64) -> (usize, usize) {
-        let fresh = |worker: &&Worker| worker.heard_at + HEARD_WITHIN_MS >= now;
-        (self.workers.values().filter(fresh).count(), self.workers.len())
+    /// Returns the number of workers whose agent reported within [`MAX_REPORT_AGE_MS`], and the number of all known
+    /// workers.
+    pub fn reporting_workers(&self, now: u64) -> (usize, usize) {
+        let recent = |worker: &&Worker| worker.last_report_at + MAX_REPORT_AGE_MS >= now;
+        (self.workers.values().filter(recent).count(), self.workers.len())
     }
 
     pub(crate) fn queue_of(&self, job: &str) -> Option<&Queue> {
@@ -274,7 +278,7 @@
     }
 
     pub(crate) fn max_attempts(&self, job: &str) -> u32 {
-        // A queue that was removed gives its running jobs one more attempt, no more.
+        // Jobs whose queue was removed from the desired state fail at their next failed run.
         self.queue_of(job).map_or(1, |queue| queue.max_attempts.max(1))
     }
 
@@ -285,23 +289,23 @@
         job.ended_ms = wall;
         job.ended_in = change;
         for unit in job.units.values_mut() {
-            set_ending(unit, now);
+            mark_ending(unit, now);
         }
-        let age = wall.saturating_sub(job.accepted_ms);
+        let age_ms = wall.saturating_sub(job.accepted_ms);
         let keys: Vec<UnitKey> = job.units.keys().copied().collect();
         for key in keys {
-            self.poke_members(name, key);
+            self.wake_member_agents(name, key);
         }
-        self.note(format!("event=job_ended job={name} outcome={outcome:?} age_ms={age}"));
-        self.touch(name);
+        self.log_line(format!("event=job_ended job={name} outcome={outcome:?} age_ms={age_ms}"));
+        self.mark_changed(name);
         self.approvals.forget(name);
-        self.learn_from(name);
+        self.record_preemption_result(name);
         self.retire(name);
     }
 
-    /// Notes whether a job that room was made for has ended in time.
-    fn learn_from(&mut self, name: &str) {
-        let Some(job) = self.jobs.get(name).filter(|job| job.room_made) else { return };
+    /// Records whether a job that preempted others ended in time.
+    fn record_preemption_result(&mut self, name: &str) {
+        let Some(job) = self.jobs.get(name).filter(|job| job.preempted_others) else { return };
         if let Some(in_time) = self.ended_in_time(job) {
             let queue = job.sub.queue.clone();
             self.successes.entry(queue).or_default().note(in_time);
@@ -310,39 +314,49 @@
 
     pub(crate) fn complete_if_done(&mut self, now: u64, wall: u64, name: &str) {
         let Some(job) = self.jobs.get(name).filter(|job| job.outcome.is_none()) else { return };
-        let all = job.units.values().all(|unit| unit.at == Where::Done);
+        let all_done = job.units.values().all(|unit| unit.state == UnitState::Done);
         let opened = job.units.keys().map(|key| key.occurrence + 1).max().unwrap_or(0);
-        if all && opened == job.occurrences() && !job.lasts() {
+        if all_done && opened == job.occurrences() && !job.is_long_running() {
             self.end_job(now, wall, name, Outcome::Completed);
         }
     }
 
-    /// Moves time on: leases that ran out, occurrences that are due, then placement.
+    /// Runs the periodic work: lease expiry, due occurrences, retention, speed shares, then placement.
     pub fn tick(&mut self, now: u64, wall: u64) {
-        self.expire(now, wall);
-        self.open_due(now, wall);
-        self.drop_old(wall);
+        self.expire_leases(now, wall);
+        self.create_due_occurrences(now, wall);
+        self.remove_old_jobs(wall);
         self.set_paces(now);
         self.place_all(now, wall);
     }
 
-    fn expire(&mut self, now: u64, wall: u64) {
+    fn expire_leases(&mut self, now: u64, wall: u64) {
         let timing = self.timing;
-        // Leases run on the worker's clock, which may be 2% slow; a stop may still be in progress at the end.
-        let after = timing.grant_ms / 50 + timing.stop_ms;
-        let over = |worker: &&Worker| now > worker.granted_until + after;
-        let lives: Vec<String> = self.workers.values().filter(over).map(|w| w.info.life.clone()).collect();
-        for life in lives {
-            self.forget_life(now, wall, &life, "its agent was silent until the grant had run out");
+        // Leases are timed by the worker's clock, which may be 2% slow, and a stop may be in progress when one ends.
+        let margin_ms = timing.grant_ms / 50 + timing.stop_ms;
+        let expired = |worker: &&Worker| now > worker.granted_until + margin_ms;
+        let incarnations: Vec<String> =
+            self.workers.values().filter(expired).map(|w| w.info.incarnation.clone()).collect();
+        for incarnation in incarnations {
+            self.remove_incarnation(
+                now,
+                wall,
+                &incarnation,
+                "no report from its agent before the grant expired",
+            );
         }
-        let over: Vec<String> =
-            self.unheard.iter().filter(|(_, until)| now > **until).map(|(life, _)| life.clone()).collect();
-        for life in over {
-            self.forget_life(now, wall, &life, "not heard of since this planner began");
+        let overdue: Vec<String> = self
+            .unreported
+            .iter()
+            .filter(|(_, until)| now > **until)
+            .map(|(incarnation, _)| incarnation.clone())
+            .collect();
+        for incarnation in overdue {
+            self.remove_incarnation(now, wall, &incarnation, "no report since this planner started");
         }
     }
 
-    fn open_due(&mut self, now: u64, wall: u64) {
+    fn create_due_occurrences(&mut self, now: u64, wall: u64) {
         let mut opened = Vec::new();
         for name in &self.live {
             let Some(job) = self.jobs.get_mut(name).filter(|job| job.outcome.is_none()) else { continue };
@@ -351,93 +365,99 @@
                 if job.due_ms(occurrence).is_some_and(|due| due > wall) {
                     break;
                 }
-                job.open(occurrence);
+                job.create_units(occurrence);
                 opened.push(name.clone());
             }
-            let turns: Vec<UnitKey> =
+            let not_ready: Vec<UnitKey> =
                 job.units.iter().filter(|(_, unit)| unit.since == 0).map(|(key, _)| *key).collect();
-            for key in turns {
-                let come = job.turn_has_come(key, wall);
-                if let Some(unit) = job.units.get_mut(&key).filter(|_| come) {
+            for key in not_ready {
+                let ready = job.is_ready(key, wall);
+                if let Some(unit) = job.units.get_mut(&key).filter(|_| ready) {
                     unit.since = now.max(1);
                 }
             }
         }
-        self.dirty.extend(opened);
+        self.changed_jobs.extend(opened);
     }
 
-    fn drop_old(&mut self, wall: u64) {
-        let keep = self.timing.keep_ended_ms;
-        let old = |job: &&Job| job.outcome.is_some() && wall > job.ended_ms + keep;
+    fn remove_old_jobs(&mut self, wall: u64) {
+        let retention_ms = self.timing.ended_retention_ms;
+        let old = |job: &&Job| job.outcome.is_some() && wall > job.ended_ms + retention_ms;
         let old: Vec<String> = self.jobs.values().filter(old).map(|job| job.sub.job.clone()).collect();
         for name in old.into_iter().filter(|name| !self.live.contains(name)) {
             self.jobs.remove(&name);
-            self.dirty.remove(&name);
-            self.drops.extend(record::dropped(&name));
+            self.changed_jobs.remove(&name);
+            self.removals.extend(record::dropped(&name));
         }
     }
 
-    /// Places a unit; the members take their room from now on.
-    pub(crate) fn place(&mut self, now: u64, name: &str, key: UnitKey, lives: &[String]) {
+    /// Starts a new run of a unit on the given worker incarnations, whose resources are reserved from now on.
+    pub(crate) fn place_unit(&mut self, now: u64, name: &str, key: UnitKey, incarnations: &[String]) {
         let change = self.change;
-        let agents: Vec<String> = lives
+        let agents: Vec<String> = incarnations
             .iter()
-            .map(|life| self.workers.get(life).map(|worker| worker.agent.clone()).unwrap_or_default())
+            .map(|id| self.workers.get(id).map(|worker| worker.agent.clone()).unwrap_or_default())
             .collect();
         let Some(job) = self.jobs.get_mut(name) else { return };
-        let counted = job.sub.steps.get(key.step as usize).map(Step::counted).unwrap_or_default();
+        let reserved = job.sub.steps.get(key.step as usize).map(Step::reserved).unwrap_or_default();
         let Some(unit) = job.units.get_mut(&key) else { return };
         unit.run += 1;
-        let member = |(life, agent): (&String, String)| crate::unit::Member {
-            worker: life.clone(),
+        let member = |(incarnation, agent): (&String, String)| crate::unit::Member {
+            worker: incarnation.clone(),
             agent,
-            gone: false,
+            released: false,
             seen: false,
             percent: 0,
         };
-        unit.members = lives.iter().zip(agents).map(member).collect();
+        unit.members = incarnations.iter().zip(agents).map(member).collect();
         unit.placed_in = change;
-        let (run, waited) = (unit.run, now.saturating_sub(unit.since));
-        set(unit, Where::Placed, now);
-        self.poked_by.extend(unit.members.iter().map(|member| (change, member.agent.clone())));
-        for (offset, life) in lives.iter().enumerate() {
-            if let Some(worker) = self.workers.get_mut(life) {
-                worker.used += counted;
+        let (run, waited_ms) = (unit.run, now.saturating_sub(unit.since));
+        set_state(unit, UnitState::Placed, now);
+        self.agents_to_wake_by_change
+            .extend(unit.members.iter().map(|member| (change, member.agent.clone())));
+        for (offset, incarnation) in incarnations.iter().enumerate() {
+            if let Some(worker) = self.workers.get_mut(incarnation) {
+                worker.used += reserved;
                 worker.placed.insert((key.task(name, offset), run));
             }
         }
-        let (on, first) = (lives.join(","), key.task(name, 0));
-        self.note(format!("event=placed job={name} task={first} run={run} waited_ms={waited} workers={on}"));
-        self.touch(name);
+        let (workers, first) = (incarnations.join(","), key.task(name, 0));
+        self.log_line(format!(
+            "event=placed job={name} task={first} run={run} waited_ms={waited_ms} workers={workers}"
+        ));
+        self.mark_changed(name);
     }
 
-    /// Ends the run of a placed unit, so that it waits again.
-    pub(crate) fn vacate(&mut self, now: u64, name: &str, key: UnitKey, why: &str) {
+    /// Ends the run of a placed unit; the unit waits again once all members are released.
+    pub(crate) fn evict(&mut self, now: u64, name: &str, key: UnitKey, reason: &str) {
         let unit = self.jobs.get_mut(name).and_then(|job| job.units.get_mut(&key));
-        let Some(unit) = unit.filter(|unit| unit.at == Where::Placed) else { return };
+        let Some(unit) = unit.filter(|unit| unit.state == UnitState::Placed) else { return };
         let run = unit.run;
-        set(unit, Where::Ending, now);
-        self.poke_members(name, key);
-        self.note(format!("event=preempted job={name} task={} run={run} why={why:?}", key.task(name, 0)));
+        set_state(unit, UnitState::Ending, now);
+        self.wake_member_agents(name, key);
+        self.log_line(format!(
+            "event=preempted job={name} task={} run={run} why={reason:?}",
+            key.task(name, 0)
+        ));
     }
 
-    /// Returns the capacity of all workers of a service that are known.
-    pub fn capacity_of(&self, service: &str) -> Room {
-        let mut all = Room::default();
+    /// Returns the total capacity of the known workers of a service.
+    pub fn capacity_of(&self, service: &str) -> Resources {
+        let mut total = Resources::default();
         for worker in self.workers.values().filter(|worker| worker.info.service == service) {
-            all += worker.info.capacity;
+            total += worker.info.capacity;
         }
-        all
+        total
     }
 }
 
-pub(crate) fn set(unit: &mut Unit, at: Where, now: u64) {
-    unit.at = at;
+pub(crate) fn set_state(unit: &mut Unit, state: UnitState, now: u64) {
+    unit.state = state;
     unit.since = now.max(1);
 }
 
-pub(crate) fn set_ending(unit: &mut Unit, now: u64) {
-    if unit.at == Where::Placed {
-        set(unit, Where::Ending, now);
+pub(crate) fn mark_ending(unit: &mut Unit, now: u64) {
+    if unit.state == UnitState::Placed {
+        set_state(unit, UnitState::Ending, now);
     }
 }
--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -8,8 +8,8 @@
 use crate::job::Step;
 use crate::place::{Candidate, fill};
 use crate::planner::Planner;
-use crate::room::Room;
-use crate::unit::{UnitKey, Where};
+use crate::resources::Resources;
+use crate::unit::{UnitKey, UnitState};
 use crate::value::{Prospect, earnable};
 use crate::worker::Worker;
 
@@ -26,7 +26,7 @@
     /// What ending its run costs, in worth.
     lost: f64,
     /// Room that it takes on each worker.
-    on: BTreeMap<String, Room>,
+    on: BTreeMap<String, Resources>,
 }
 
 /// Ends runs that are less urgent than a unit until it fits, and keeps the room for it. A job is in time only with
@@ -44,16 +44,16 @@
     let wanted = Step { count: members, ..step.clone() };
     let victims = victims(planner, now, wall, candidate);
     let offer = planner.offer(now, candidate, &step);
-    let mut groups: BTreeMap<&str, Vec<(&Worker, Room)>> = BTreeMap::new();
+    let mut groups: BTreeMap<&str, Vec<(&Worker, Resources)>> = BTreeMap::new();
     for (worker, room) in offer.left.values() {
-        let group = if step.one_rack { worker.rack() } else { "" };
+        let group = if step.prefers_one_rack { worker.rack() } else { "" };
         groups.entry(group).or_default().push((worker, *room));
     }
     let plans = groups.values().filter_map(|workers| choose(workers, &victims, &wanted));
     let mut best = plans.min_by(|one, other| one.0.total_cmp(&other.0));
     if best.is_none() && candidate.must_begin {
         // No rack can be vacated for it: better slow over several racks than not within the bound.
-        let all: Vec<(&Worker, Room)> = offer.left.values().copied().collect();
+        let all: Vec<(&Worker, Resources)> = offer.left.values().copied().collect();
         best = choose(&all, &victims, &wanted);
     }
     let Some((cost, chosen, lives)) = best else { return };
@@ -63,18 +63,18 @@
     let ends: Vec<(String, UnitKey)> =
         chosen.iter().map(|at| (victims[*at].job.clone(), victims[*at].key)).collect();
     if step.gang {
-        planner.claims.insert(candidate, candidate.key, lives, step.counted(), now);
+        planner.claims.insert(candidate, candidate.key, lives, step.reserved(), now);
     } else {
         for (key, life) in units.into_iter().zip(lives) {
-            planner.claims.insert(candidate, key, vec![life], step.counted(), now);
+            planner.claims.insert(candidate, key, vec![life], step.reserved(), now);
         }
     }
     if let Some(job) = planner.jobs.get_mut(&candidate.job).filter(|_| !ends.is_empty()) {
-        job.room_made = true;
+        job.preempted_others = true;
     }
     let why = format!("room for {}", candidate.job);
     for (name, key) in ends {
-        planner.vacate(now, &name, key, &why);
+        planner.evict(now, &name, key, &why);
     }
 }
 
@@ -85,7 +85,7 @@
         (key.occurrence, key.step) == (candidate.key.occurrence, candidate.key.step)
             && !planner.claims.has(&candidate.job, *key)
     };
-    let waiting = job.units.iter().filter(|(key, unit)| unit.at == Where::Waiting && same(key));
+    let waiting = job.units.iter().filter(|(key, unit)| unit.state == UnitState::Waiting && same(key));
     waiting.map(|(key, _)| *key).collect()
 }
 
@@ -119,24 +119,24 @@
         }
         for (key, unit) in &job.units {
             let Some(step) = job.sub.steps.get(key.step as usize) else { continue };
-            if unit.at != Where::Placed && unit.at != Where::Ending {
+            if unit.state != UnitState::Placed && unit.state != UnitState::Ending {
                 continue;
             }
-            if step.may_miss.is_some() {
+            if step.max_unavailable.is_some() {
                 // The caller allows only so many to be away; they are left alone.
                 continue;
             }
             let percent = unit.members.iter().map(|member| member.percent).max().unwrap_or(0);
-            if unit.at == Where::Placed
+            if unit.state == UnitState::Placed
                 && percent >= NEARLY_DONE_PERCENT
-                && !step.lasting
+                && !step.long_running
                 && !candidate.must_begin
             {
                 continue;
             }
-            let mut on: BTreeMap<String, Room> = BTreeMap::new();
-            for member in unit.members.iter().filter(|member| !member.gone) {
-                *on.entry(member.worker.clone()).or_default() += step.counted();
+            let mut on: BTreeMap<String, Resources> = BTreeMap::new();
+            for member in unit.members.iter().filter(|member| !member.released) {
+                *on.entry(member.worker.clone()).or_default() += step.reserved();
             }
             let lost = planner.cost_of_stop(now, wall, job, *key, unit);
             victims.push(Victim { job: name.clone(), key: *key, lost, on });
@@ -147,11 +147,11 @@
 
 /// Returns the cheapest found set of victims in a group of workers, its cost, and the workers of the members.
 fn choose(
-    workers: &[(&Worker, Room)],
+    workers: &[(&Worker, Resources)],
     victims: &[Victim],
     step: &Step,
 ) -> Option<(f64, Vec<usize>, Vec<String>)> {
-    let names: BTreeSet<&str> = workers.iter().map(|(worker, _)| worker.info.life.as_str()).collect();
+    let names: BTreeSet<&str> = workers.iter().map(|(worker, _)| worker.info.incarnation.as_str()).collect();
     let mut order: Vec<usize> = (0..victims.len())
         .filter(|at| victims[*at].on.keys().any(|life| names.contains(life.as_str())))
         .collect();
@@ -163,11 +163,11 @@
         victim.lost / freed.max(1) as f64
     };
     order.sort_by(|one, other| per_core(one).total_cmp(&per_core(other)));
-    let free_with = |chosen: &[usize]| -> Vec<(&Worker, Room)> {
+    let free_with = |chosen: &[usize]| -> Vec<(&Worker, Resources)> {
         let mut free = workers.to_vec();
         for (worker, room) in &mut free {
             for at in chosen {
-                if let Some(more) = victims[*at].on.get(&worker.info.life) {
+                if let Some(more) = victims[*at].on.get(&worker.info.incarnation) {
                     *room += *more;
                 }
             }
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -1,45 +1,48 @@
-//! What an agent tells the planner about its worker.
+//! Reports of an agent to the planner about its worker.
 
 use serde::{Deserialize, Serialize};
 
-use crate::room::Room;
+use crate::resources::Resources;
 use crate::task::Task;
 
-/// State of one worker as its agent knows it.
+/// State of one worker, sent by its agent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the agent's instance.
     pub agent: String,
-    /// Random number of the agent's life.
-    pub agent_life: u64,
-    /// Rises with every report of an agent's life.
+    /// Random number of the agent's incarnation.
+    #[serde(rename = "agent_life")]
+    pub agent_incarnation: u64,
+    /// Sequence number; increases with every report of an agent's incarnation.
     pub seq: u64,
-    /// The worker; `None` while the agent knows of none.
+    /// The worker; `None` while the agent knows of no worker.
     pub worker: Option<WorkerInfo>,
     /// Runs that the worker lists as running.
     pub running: Vec<Running>,
-    /// Ends that the worker lists and that were not yet confirmed, in order.
+    /// Unacknowledged ends that the worker lists, in order.
     pub ended: Vec<End>,
-    /// Runs that will never take room on the worker: refused, or stopped before they arrived.
-    pub gone: Vec<Gone>,
+    /// Runs that will never occupy resources on the worker: refused, or stopped before they arrived.
+    #[serde(rename = "gone")]
+    pub not_started: Vec<NotStarted>,
 }
 
-/// A worker as it announced itself.
+/// A worker's announcement of itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerInfo {
-    /// Name of this life of the worker.
-    pub life: String,
+    /// Name of this incarnation of the worker.
+    #[serde(rename = "life")]
+    pub incarnation: String,
     /// Service whose jobs it runs.
     pub service: String,
     /// Failure domain.
     pub domain: String,
-    /// Its kind and its rack.
+    /// Labels: its kind and, last, its rack.
     pub labels: Vec<String>,
-    /// Its whole capacity.
-    pub capacity: Room,
-    /// Whether it takes no new work.
+    /// Total capacity.
+    pub capacity: Resources,
+    /// Whether it accepts no new work.
     pub draining: bool,
-    /// Time left before it goes, in milliseconds, while it drains.
+    /// Time left before it shuts down, in milliseconds, while it drains.
     pub remaining_ms: Option<u64>,
 }
 
@@ -50,53 +53,56 @@
     pub task: Task,
     /// Number of its run.
     pub run: u64,
-    /// Newest saved progress; empty for none.
+    /// Newest saved progress; empty if there is none.
     pub saved: String,
     /// Progress in percent.
     pub percent: u64,
-    /// Tail latency in milliseconds of a serving subtask, otherwise the processor in use.
-    pub figure: u64,
+    /// Tail latency in milliseconds of a serving subtask, otherwise the CPU in use.
+    #[serde(rename = "figure")]
+    pub measurement: u64,
 }
 
-/// How a run ended.
+/// Why a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum How {
-    /// With its result.
+pub enum EndReason {
+    /// The run finished with its result.
     Done,
-    /// By its own fault or the worker's.
+    /// The run failed through its own fault or the worker's.
     Failed,
-    /// By an order.
+    /// The run was stopped on request.
     Stopped,
     /// Its lease ran out.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     Broken,
-    /// It waited in vain for the other members.
+    /// The run waited for the other members of its gang without success.
     Alone,
 }
 
 /// The end of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// Number of the end in the worker's life.
-    pub n: u64,
+    /// Number of the end within the worker's incarnation.
+    #[serde(rename = "n")]
+    pub number: u64,
     /// The subtask.
     pub task: Task,
     /// Number of its run.
     pub run: u64,
-    /// How it ended.
-    pub how: How,
-    /// Saved progress; empty for none.
+    #[serde(rename = "how")]
+    pub reason: EndReason,
+    /// Saved progress; empty if there is none.
     pub saved: String,
 }
 
-/// Why a run takes no room on a worker.
+/// A run that does not occupy resources on the worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Gone {
+pub struct NotStarted {
     /// The subtask.
     pub task: Task,
     /// Number of its run.
     pub run: u64,
     /// Reason for the logs.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
--- a/crates/fleet/src/room.rs
+++ b/crates/fleet/src/resources.rs
@@ -1,16 +1,16 @@
-//! Amounts of processor, memory and accelerators.
+//! Amounts of CPU, memory and accelerators.
 
 use std::ops::{AddAssign, Mul, SubAssign};
 
 use serde::{Deserialize, Serialize};
 
-/// Cores that one accelerator counts as when the cost of work is compared, as the users' price list has it.
+/// Cores that one accelerator counts as in cost comparisons, as in the users' price list.
 pub const CORES_PER_ACCELERATOR: i64 = 8;
 
-/// An amount of room on a worker, or what a subtask needs; negative where a worker is over its capacity.
+/// Resources of a worker or needed by a subtask; negative where a worker is overcommitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
-    /// Processor in thousandths of a core.
+pub struct Resources {
+    /// CPU in thousandths of a core.
     pub millicores: i64,
     /// Memory in megabytes.
     pub memory_mb: i64,
@@ -18,14 +18,13 @@
     pub accelerators: i64,
 }
 
-impl Room {
-    /// Creates an amount.
+impl Resources {
     pub fn new(millicores: i64, memory_mb: i64, accelerators: i64) -> Self {
         Self { millicores, memory_mb, accelerators }
     }
 
     /// Returns whether `other` fits into this amount.
-    pub fn holds(&self, other: &Self) -> bool {
+    pub fn can_fit(&self, other: &Self) -> bool {
         self.copies_of(other) >= 1
     }
 
@@ -40,12 +39,12 @@
             .min(each(self.accelerators, other.accelerators))
     }
 
-    /// Returns the price weight in thousandths of a core, accelerators included.
+    /// Returns the cost weight of the CPU and accelerators, in thousandths of a core.
     pub fn weight(&self) -> i64 {
         self.millicores + self.accelerators * CORES_PER_ACCELERATOR * 1_000
     }
 
-    /// Returns the largest share of `capacity` that this amount takes of any one resource, in thousandths.
+    /// Returns the share of `capacity` taken of the most used resource, in thousandths.
     pub fn share_of(&self, capacity: &Self) -> i64 {
         let each = |have: i64, of: i64| if of > 0 { have * 1_000 / of } else { 0 };
         each(self.millicores, capacity.millicores)
@@ -54,7 +53,7 @@
     }
 }
 
-impl AddAssign for Room {
+impl AddAssign for Resources {
     fn add_assign(&mut self, other: Self) {
         self.millicores += other.millicores;
         self.memory_mb += other.memory_mb;
@@ -62,7 +61,7 @@
     }
 }
 
-impl SubAssign for Room {
+impl SubAssign for Resources {
     fn sub_assign(&mut self, other: Self) {
         self.millicores -= other.millicores;
         self.memory_mb -= other.memory_mb;
@@ -70,10 +69,10 @@
     }
 }
 
-impl Mul<i64> for Room {
+impl Mul<i64> for Resources {
     type Output = Self;
 
-    fn mul(self, times: i64) -> Self {
-        Self::new(self.millicores * times, self.memory_mb * times, self.accelerators * times)
+    fn mul(self, factor: i64) -> Self {
+        Self::new(self.millicores * factor, self.memory_mb * factor, self.accelerators * factor)
     }
 }
--- a/crates/fleet/src/task.rs
+++ b/crates/fleet/src/task.rs
@@ -1,4 +1,4 @@
-//! Names of subtasks.
+//! Identifiers of subtasks.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,13 +6,13 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Result of reading a name.
-pub type Result<T> = std::result::Result<T, BadTask>;
+/// Result of parsing a subtask identifier.
+pub type Result<T> = std::result::Result<T, ParseTaskError>;
 
-/// A text that does not name a subtask.
+/// Error for a text that is not a subtask identifier.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("not the name of a subtask: {_0:?}")]
-pub struct BadTask(#[error(not(source))] pub String);
+#[display("not a subtask identifier: {_0:?}")]
+pub struct ParseTaskError(#[error(not(source))] pub String);
 
 /// One subtask of one occurrence of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
     pub occurrence: u32,
     /// Step of the job, counted from 0.
     pub step: u32,
-    /// Place within the step, counted from 0.
+    /// Index within the step, counted from 0.
     pub index: u32,
 }
 
@@ -34,16 +34,16 @@
 }
 
 impl FromStr for Task {
-    type Err = BadTask;
+    type Err = ParseTaskError;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || BadTask(text.to_owned());
+        let invalid = || ParseTaskError(text.to_owned());
         let mut parts = text.split('.');
-        let job = parts.next().filter(|job| !job.is_empty()).ok_or_else(bad)?.to_owned();
-        let mut number = || parts.next().and_then(|part| part.parse::<u32>().ok()).ok_or_else(bad);
+        let job = parts.next().filter(|job| !job.is_empty()).ok_or_else(invalid)?.to_owned();
+        let mut number = || parts.next().and_then(|part| part.parse::<u32>().ok()).ok_or_else(invalid);
         let (occurrence, step, index) = (number()?, number()?, number()?);
         if parts.next().is_some() {
-            return Err(bad());
+            return Err(invalid());
         }
         Ok(Self { job, occurrence, step, index })
     }
--- a/crates/fleet/src/unit.rs
+++ b/crates/fleet/src/unit.rs
@@ -1,17 +1,17 @@
-//! Units of placement: a gang as a whole, or a single subtask.
+//! Units of placement: a whole gang, or a single subtask.
 
 use serde::{Deserialize, Serialize};
 
 use crate::task::Task;
 
-/// Place of a unit within its job.
+/// Identifies a unit within its job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct UnitKey {
-    /// Occurrence of the job.
+    /// Occurrence of the job, counted from 0.
     pub occurrence: u32,
-    /// Step of the job.
+    /// Step of the job, counted from 0.
     pub step: u32,
-    /// First subtask of the unit.
+    /// Index of the unit's first subtask.
     pub index: u32,
 }
 
@@ -23,63 +23,65 @@
     }
 }
 
-/// Where a unit is in its life.
+/// Lifecycle state of a unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Where {
-    /// It waits for room, or for its turn.
+pub enum UnitState {
+    /// Waits for resources, its due time, or the steps it depends on.
     #[default]
     Waiting,
-    /// It was placed, and every member is meant to run.
+    /// Placed; every member should run.
     Placed,
-    /// Its run is being ended; it is placed again when the last member is gone.
+    /// Its run is being ended; the unit waits again once the last member is released.
     Ending,
-    /// It has ended as done.
+    /// Ended with its result.
     Done,
 }
 
 /// A member of a placed unit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Worker's life that the member was placed on.
+    /// Worker incarnation that the member was placed on.
     pub worker: String,
-    /// Agent beside that worker.
+    /// Agent that manages the worker.
     pub agent: String,
-    /// Whether the run is certainly over there.
-    pub gone: bool,
-    /// Whether the worker was ever seen running it.
+    /// Whether the run certainly no longer occupies resources on the worker.
+    #[serde(rename = "gone")]
+    pub released: bool,
+    /// Whether the worker has ever reported the run as running.
     #[serde(skip)]
     pub seen: bool,
-    /// Progress of the run in percent, as last seen.
+    /// Last reported progress of the run, in percent.
     #[serde(skip)]
     pub percent: u64,
 }
 
-/// A gang, or a subtask that is not in one.
+/// A gang, or a subtask that does not belong to a gang.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unit {
-    /// Where it is in its life.
-    pub at: Where,
+    #[serde(rename = "at")]
+    pub state: UnitState,
     /// Number of the newest run; 0 before the first.
     pub run: u64,
-    /// Members of the newest run by offset; those not gone take room.
+    /// Members of the newest run by offset; unreleased members occupy resources.
     pub members: Vec<Member>,
-    /// Runs that failed by their own fault or the worker's.
-    pub fails: u32,
-    /// Newest saved progress; empty for none.
+    /// Number of runs that failed through their own fault or the worker's.
+    #[serde(rename = "fails")]
+    pub failures: u32,
+    /// Newest saved progress; empty if there is none.
     pub saved: String,
-    /// Workers on which it failed, newest last.
+    /// Worker incarnations on which it failed, newest last.
     pub failed_on: Vec<String>,
     #[serde(skip)]
-    /// When `at` last changed, on the steady clock; 0 before the unit's turn.
+    /// When `state` last changed, on the monotonic clock; 0 until the unit is ready to be placed.
     pub since: u64,
     #[serde(skip)]
-    /// Change of the planner with which the newest run was placed.
+    /// Number of the change that placed the newest run.
     pub placed_in: u64,
 }
 
 impl Unit {
-    /// Returns whether no member takes room any more.
-    pub fn all_gone(&self) -> bool {
-        self.members.iter().all(|member| member.gone)
+    /// Returns whether no member occupies resources.
+    pub fn all_released(&self) -> bool {
+        self.members.iter().all(|member| member.released)
     }
 }
--- a/crates/fleet/src/value.rs
+++ b/crates/fleet/src/value.rs
@@ -5,7 +5,7 @@
 use crate::desired::Queue;
 use crate::job::{Job, Submission};
 use crate::planner::Planner;
-use crate::unit::{Unit, UnitKey, Where};
+use crate::unit::{Unit, UnitKey, UnitState};
 
 /// Relative worth of a mean job by the urgency of its queue, from the users' sheets; less urgent queues have the
 /// last one.
@@ -84,7 +84,7 @@
 /// several cores.
 pub fn work_core_s(sub: &Submission) -> f64 {
     let step = |step: &crate::job::Step| {
-        step.room.weight() as f64 / 1_000.0 * f64::from(step.count) * step.estimate_ms as f64 / 1_000.0
+        step.resources.weight() as f64 / 1_000.0 * f64::from(step.count) * step.estimate_ms as f64 / 1_000.0
     };
     sub.steps.iter().map(step).sum()
 }
@@ -141,23 +141,24 @@
     /// Returns what ending a placed unit's run now costs, in worth: the work thrown away, and what its job may
     /// lose by the delay.
     pub fn cost_of_stop(&self, now: u64, wall: u64, job: &Job, key: UnitKey, unit: &Unit) -> f64 {
-        if unit.at == Where::Ending {
+        if unit.state == UnitState::Ending {
             // It is being ended anyway.
             return 0.0;
         }
         let Some(step) = job.sub.steps.get(key.step as usize) else { return 0.0 };
         let Some(queue) = self.desired.queue(&job.sub.queue) else { return 0.0 };
         let ran_ms = now.saturating_sub(unit.since);
-        let unsaved_ms = if step.saves || step.lasting { ran_ms.min(SAVE_EVERY_MS) } else { ran_ms };
-        let cores = step.room.weight() as f64 / 1_000.0 * unit.members.len() as f64;
+        let unsaved_ms =
+            if step.saves_progress || step.long_running { ran_ms.min(SAVE_EVERY_MS) } else { ran_ms };
+        let cores = step.resources.weight() as f64 / 1_000.0 * unit.members.len() as f64;
         let waste = WASTE_PER_CORE_S * cores * unsaved_ms as f64 / 1_000.0;
-        if step.lasting {
+        if step.long_running {
             return waste;
         }
         let work = work_core_s(&job.sub);
         let worth = self.mean_work(&job.sub.queue).worth(queue.priority, work);
         let times = Times::new(job, queue, key);
-        let keeps = if step.saves { ran_ms } else { 0 };
+        let keeps = if step.saves_progress { ran_ms } else { 0 };
         // Left to run it would have started when it was placed; stopped it starts again after a while.
         let before = earnable(worth, times.prospect(wall.saturating_sub(ran_ms)));
         let after = earnable(worth, times.prospect((wall + REPLACE_MS).saturating_sub(keeps)));
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -8,8 +8,8 @@
 use crate::admit::chain_ms;
 use crate::job::{Job, JobState, Outcome};
 use crate::place::{Candidate, accelerators_at_once, usable};
-use crate::planner::{HEARD_WITHIN_MS, Planner};
-use crate::unit::{Unit, UnitKey, Where};
+use crate::planner::{MAX_REPORT_AGE_MS, Planner};
+use crate::unit::{Unit, UnitKey, UnitState};
 use crate::worker::Worker;
 
 /// Rows of one answer at most, so that it stays far below the limit of a message.
@@ -92,7 +92,7 @@
 
     fn view_jobs(&self, wall: u64) -> Value {
         let row = |job: &Job| {
-            let units = |at: Where| job.units.values().filter(|unit| unit.at == at).count();
+            let units = |at: UnitState| job.units.values().filter(|unit| unit.state == at).count();
             json!({
                 "job": job.sub.job,
                 "queue": job.sub.queue,
@@ -100,11 +100,11 @@
                 "state": state(job),
                 "age_ms": wall.saturating_sub(job.accepted_ms),
                 "target_ms": self.target_ms(job),
-                "waiting": units(Where::Waiting),
-                "placed": units(Where::Placed),
-                "ending": units(Where::Ending),
-                "done": units(Where::Done),
-                "fails": job.units.values().map(|unit| unit.fails).sum::<u32>(),
+                "waiting": units(UnitState::Waiting),
+                "placed": units(UnitState::Placed),
+                "ending": units(UnitState::Ending),
+                "done": units(UnitState::Done),
+                "fails": job.units.values().map(|unit| unit.failures).sum::<u32>(),
             })
         };
         let jobs = self.live.iter().filter_map(|name| self.jobs.get(name));
@@ -127,7 +127,7 @@
     fn view_workers(&self, now: u64) -> Value {
         let row = |worker: &Worker| {
             json!({
-                "worker": worker.info.life,
+                "worker": worker.info.incarnation,
                 "agent": worker.agent,
                 "service": worker.info.service,
                 "rack": worker.rack(),
@@ -135,7 +135,7 @@
                 "accelerators": format!("{}/{}", worker.used.accelerators, worker.info.capacity.accelerators),
                 "cores": format!("{}/{}", worker.used.millicores / 1_000, worker.info.capacity.millicores / 1_000),
                 "runs": worker.placed.len(),
-                "heard_ms_ago": now.saturating_sub(worker.heard_at),
+                "heard_ms_ago": now.saturating_sub(worker.last_report_at),
             })
         };
         let columns = [
@@ -160,10 +160,12 @@
             for job in jobs.filter(|job| job.outcome.is_none()) {
                 let is_urgent = self.desired.queue(&job.sub.queue).is_some_and(|queue| queue.priority == 0);
                 urgent += if is_urgent { accelerators_at_once(&job.sub) } else { 0 };
-                (waiting, running) = if job.begun { (waiting, running + 1) } else { (waiting + 1, running) };
+                (waiting, running) =
+                    if job.started { (waiting, running + 1) } else { (waiting + 1, running) };
                 for (key, unit) in &job.units {
-                    let each = job.sub.steps.get(key.step as usize).map_or(0, |step| step.room.accelerators);
-                    used += each * unit.members.iter().filter(|member| !member.gone).count() as i64;
+                    let each =
+                        job.sub.steps.get(key.step as usize).map_or(0, |step| step.resources.accelerators);
+                    used += each * unit.members.iter().filter(|member| !member.released).count() as i64;
                 }
             }
             json!({
@@ -233,7 +235,7 @@
     /// Returns whether an ended job ended within its target; `None` for one that is not judged.
     pub(crate) fn ended_in_time(&self, job: &Job) -> Option<bool> {
         let outcome = job.outcome.filter(|outcome| *outcome != Outcome::Cancelled)?;
-        if job.sub.schedule.is_some() || job.lasts() {
+        if job.sub.schedule.is_some() || job.is_long_running() {
             return None;
         }
         let took = job.ended_ms.saturating_sub(job.accepted_ms);
@@ -262,14 +264,14 @@
             };
         };
         let order = self.candidates(now, wall);
-        let open = job.units.iter().filter(|(_, unit)| unit.at != Where::Done);
+        let open = job.units.iter().filter(|(_, unit)| unit.state != UnitState::Done);
         let units = open.take(MOST_EXPLAINED).map(|(key, unit)| {
             let ahead = order.iter().position(|c| c.job == name && c.key == *key);
             let candidate = ahead.and_then(|at| order.get(at));
             json!({
                 "subtask": key.task(name, 0).to_string(),
                 "run": unit.run,
-                "fails": unit.fails,
+                "fails": unit.failures,
                 "ahead": ahead,
                 "why": self.why_unit(now, wall, job, (*key, unit), candidate),
             })
@@ -293,15 +295,15 @@
         candidate: Option<&Candidate>,
     ) -> String {
         let workers = || {
-            let left = unit.members.iter().filter(|member| !member.gone);
+            let left = unit.members.iter().filter(|member| !member.released);
             left.map(|member| member.worker.as_str()).collect::<Vec<_>>().join(",")
         };
         let for_ms = now.saturating_sub(unit.since);
-        match unit.at {
-            Where::Done => return "done".to_owned(),
-            Where::Placed => return format!("placed {for_ms} ms ago on {}", workers()),
-            Where::Ending => return format!("its run is being ended on {} since {for_ms} ms", workers()),
-            Where::Waiting => (),
+        match unit.state {
+            UnitState::Done => return "done".to_owned(),
+            UnitState::Placed => return format!("placed {for_ms} ms ago on {}", workers()),
+            UnitState::Ending => return format!("its run is being ended on {} since {for_ms} ms", workers()),
+            UnitState::Waiting => (),
         }
         if job.outcome.is_some() {
             return "the job has ended".to_owned();
@@ -322,7 +324,7 @@
             let standing = standing(worker, now);
             let reason = match standing {
                 "usable" if !usable(worker, step, now) => "without its label",
-                "usable" if !worker.free().holds(&step.counted()) => "without room",
+                "usable" if !worker.free().can_fit(&step.reserved()) => "without room",
                 "usable" => "with room",
                 other => other,
             };
@@ -375,7 +377,7 @@
 fn state(job: &Job) -> &'static str {
     let told = match job.outcome {
         Some(outcome) => JobState::Ended(outcome),
-        None if job.begun => JobState::Running,
+        None if job.started => JobState::Running,
         None => JobState::Queued,
     };
     match told {
@@ -390,8 +392,8 @@
 fn standing(worker: &Worker, now: u64) -> &'static str {
     match worker {
         worker if worker.info.draining => "draining",
-        worker if worker.heard_at + HEARD_WITHIN_MS < now => "not heard",
-        worker if worker.out_until > now => "out of use",
+        worker if worker.last_report_at + MAX_REPORT_AGE_MS < now => "not heard",
+        worker if worker.ejected_until > now => "out of use",
         _ => "usable",
     }
 }
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -3,16 +3,21 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use sorrelland_fleet::assignments::{Assignments, Start};
 use sorrelland_fleet::desired::{Account, Desired, Queue, Service};
 use sorrelland_fleet::job::{JobState, Outcome, Schedule, Step, Submission};
-use sorrelland_fleet::orders::{Orders, Start};
-use sorrelland_fleet::planner::{Planner, Timing, Verdict};
+use sorrelland_fleet::planner::{Admission, Planner, Timing};
 use sorrelland_fleet::record;
-use sorrelland_fleet::report::{End, How, Report, Running, WorkerInfo};
-use sorrelland_fleet::{Room, Task};
+use sorrelland_fleet::report::{End, EndReason, Report, Running, WorkerInfo};
+use sorrelland_fleet::{Resources, Task};
 
-const TIMING: Timing =
-    Timing { grant_ms: 4_800, stop_ms: 400, unheard_ms: 11_000, keep_ended_ms: 240_000, reclaim_ms: 2_900 };
+const TIMING: Timing = Timing {
+    grant_ms: 4_800,
+    stop_ms: 400,
+    unreported_ms: 11_000,
+    ended_retention_ms: 240_000,
+    reclaim_ms: 2_900,
+};
 
 fn queue(name: &str, priority: u32) -> Queue {
     Queue {
@@ -27,7 +32,7 @@
 }
 
 fn desired() -> Desired {
-    let advised = Queue { advised: true, ..queue("advised", 1) };
+    let advised = Queue { needs_approval: true, ..queue("advised", 1) };
     Desired {
         version: 1,
         queues: vec![queue("urgent", 0), queue("plain", 1), queue("low", 2), advised],
@@ -54,12 +59,12 @@
         let planner = Planner::new(TIMING, Arc::new(desired()), Vec::new(), 0);
         let report = |at: usize| Report {
             agent: format!("agent-{at}"),
-            agent_life: at as u64,
+            agent_incarnation: at as u64,
             worker: Some(WorkerInfo {
-                life: format!("w{at}"),
+                incarnation: format!("w{at}"),
                 service: "svc".to_owned(),
                 labels: vec!["a".to_owned(), format!("r{}", at / 3)],
-                capacity: Room::new(128_000, 262_144, 8),
+                capacity: Resources::new(128_000, 262_144, 8),
                 ..WorkerInfo::default()
             }),
             ..Report::default()
@@ -70,26 +75,26 @@
     }
 
     /// Moves time on, lets every agent report and the planner decide, and stores what changed.
-    fn pass(&mut self, ms: u64) -> Vec<Orders> {
+    fn pass(&mut self, ms: u64) -> Vec<Assignments> {
         self.now += ms;
         self.seq += 1;
         for report in &mut self.reports {
             report.seq = self.seq;
-            self.planner.report(self.now, self.now, report);
+            self.planner.apply_report(self.now, self.now, report);
         }
         self.planner.tick(self.now, self.now);
         self.store();
         let agents: Vec<String> = self.reports.iter().map(|report| report.agent.clone()).collect();
-        agents.iter().filter_map(|agent| self.planner.orders(self.now, agent)).collect()
+        agents.iter().filter_map(|agent| self.planner.assignments(self.now, agent)).collect()
     }
 
     fn store(&mut self) {
         while let Some((_, change)) = self.planner.take_changes() {
-            self.planner.note_stored(change);
+            self.planner.record_stored(change);
         }
     }
 
-    fn submit(&mut self, job: &str, queue: &str, steps: Vec<Step>) -> Verdict {
+    fn submit(&mut self, job: &str, queue: &str, steps: Vec<Step>) -> Admission {
         let sub = Submission {
             job: job.to_owned(),
             queue: queue.to_owned(),
@@ -101,50 +106,55 @@
     }
 
     /// Shows every start as running.
-    fn run(&mut self, orders: &[Orders]) {
+    fn run(&mut self, orders: &[Assignments]) {
         for orders in orders {
             for Start { task, run, .. } in &orders.starts {
                 let report = self
                     .reports
                     .iter_mut()
-                    .find(|report| report.worker.as_ref().unwrap().life == orders.life);
+                    .find(|report| report.worker.as_ref().unwrap().incarnation == orders.incarnation);
                 let (task, run) = (task.clone(), *run);
-                let running = Running { task, run, saved: String::new(), percent: 0, figure: 0 };
+                let running = Running { task, run, saved: String::new(), percent: 0, measurement: 0 };
                 report.unwrap().running.push(running);
             }
         }
     }
 
     /// Ends every run of a job.
-    fn end(&mut self, job: &str, how: How) {
+    fn end(&mut self, job: &str, how: EndReason) {
         for report in &mut self.reports {
             let (over, rest) = report.running.drain(..).partition(|run| run.task.job == job);
             report.running = rest;
             for (n, Running { task, run, .. }) in (report.ended.len() as u64 + 1..).zip(over) {
-                report.ended.push(End { n, task, run, how, saved: String::new() });
+                report.ended.push(End { number: n, task, run, reason: how, saved: String::new() });
             }
         }
     }
 }
 
 fn step(count: u32, accelerators: i64) -> Step {
-    Step { count, room: Room::new(1_000, 1_000, accelerators), estimate_ms: 2_000, ..Step::default() }
+    Step {
+        count,
+        resources: Resources::new(1_000, 1_000, accelerators),
+        estimate_ms: 2_000,
+        ..Step::default()
+    }
 }
 
-fn starts(orders: &[Orders]) -> Vec<(&str, &Start)> {
-    orders.iter().flat_map(|o| o.starts.iter().map(|start| (o.life.as_str(), start))).collect()
+fn starts(orders: &[Assignments]) -> Vec<(&str, &Start)> {
+    orders.iter().flat_map(|o| o.starts.iter().map(|start| (o.incarnation.as_str(), start))).collect()
 }
 
 #[test]
 fn submit_orders_starts_only_after_storing() {
     let mut bench = Bench::new(1);
-    assert!(matches!(bench.submit("a", "plain", vec![step(1, 1)]), Verdict::Accepted { .. }));
+    assert!(matches!(bench.submit("a", "plain", vec![step(1, 1)]), Admission::Accepted { .. }));
     bench.planner.tick(bench.now, bench.now);
     assert_eq!(bench.planner.state("a"), None, "nothing is told before it is stored");
-    assert!(bench.planner.orders(bench.now, "agent-0").unwrap().starts.is_empty());
+    assert!(bench.planner.assignments(bench.now, "agent-0").unwrap().starts.is_empty());
     bench.store();
     assert_eq!(bench.planner.state("a"), Some(JobState::Queued));
-    assert_eq!(bench.planner.orders(bench.now, "agent-0").unwrap().starts.len(), 1);
+    assert_eq!(bench.planner.assignments(bench.now, "agent-0").unwrap().starts.len(), 1);
 }
 
 #[test]
@@ -156,7 +166,7 @@
     bench.run(&orders);
     bench.submit("gang", "plain", vec![gang]);
     assert!(starts(&bench.pass(10)).is_empty());
-    bench.end("blocker", How::Done);
+    bench.end("blocker", EndReason::Done);
     let orders = bench.pass(10);
     let found = starts(&orders);
     assert_eq!(found.len(), 3);
@@ -175,7 +185,7 @@
     let orders = bench.pass(10);
     assert_eq!(orders[0].stops.len(), 1);
     assert!(orders[0].starts.is_empty(), "the stop has not ended yet");
-    bench.end("a", How::Stopped);
+    bench.end("a", EndReason::Stopped);
     assert_eq!(starts(&bench.pass(10)).len(), 1);
     assert_eq!(bench.planner.state("a"), Some(JobState::Ended(Outcome::Cancelled)));
 }
@@ -189,7 +199,7 @@
         assert_eq!(starts(&orders)[0].1.run, run);
         bench.run(&orders);
         bench.pass(10);
-        bench.end("a", How::Failed);
+        bench.end("a", EndReason::Failed);
     }
     assert!(starts(&bench.pass(10)).is_empty());
     assert_eq!(bench.planner.state("a"), Some(JobState::Ended(Outcome::Failed)));
@@ -199,12 +209,12 @@
 fn report_of_an_older_life_is_ignored() {
     let mut bench = Bench::new(1);
     let old = bench.reports[0].clone();
-    bench.reports[0].worker.as_mut().unwrap().life = "w0-again".to_owned();
-    bench.reports[0].agent_life = 77;
+    bench.reports[0].worker.as_mut().unwrap().incarnation = "w0-again".to_owned();
+    bench.reports[0].agent_incarnation = 77;
     bench.pass(10);
     let late = Report { seq: 99, ..old };
-    bench.planner.report(bench.now, bench.now, &late);
-    assert_eq!(bench.planner.orders(bench.now, "agent-0").unwrap().life, "w0-again");
+    bench.planner.apply_report(bench.now, bench.now, &late);
+    assert_eq!(bench.planner.assignments(bench.now, "agent-0").unwrap().incarnation, "w0-again");
 }
 
 #[test]
@@ -217,7 +227,7 @@
     bench.pass(10);
     let granted_at = bench.now;
     let silent =
-        bench.reports.iter().position(|report| report.worker.as_ref().unwrap().life == life).unwrap();
+        bench.reports.iter().position(|report| report.worker.as_ref().unwrap().incarnation == life).unwrap();
     bench.reports.remove(silent);
     let least = TIMING.grant_ms + TIMING.grant_ms / 50 + TIMING.stop_ms;
     loop {
@@ -236,17 +246,17 @@
     bench.submit("a", "plain", vec![step(1, 1)]);
     bench.planner.tick(bench.now, bench.now);
     let (records, change) = bench.planner.take_changes().unwrap();
-    bench.planner.note_stored(change);
+    bench.planner.record_stored(change);
     let rows = records.iter().map(|record| (record.key.as_str(), record.value.as_slice()));
     let (jobs, _) = record::read(rows);
     let on = jobs[0].units.values().next().unwrap().members[0].worker.clone();
     bench.planner = Planner::new(TIMING, Arc::new(desired()), jobs, bench.now);
     let taken_at = bench.now;
-    bench.reports.retain(|report| report.worker.as_ref().unwrap().life != on);
+    bench.reports.retain(|report| report.worker.as_ref().unwrap().incarnation != on);
     while starts(&bench.pass(100)).is_empty() {
-        assert!(bench.now < taken_at + TIMING.unheard_ms + 500, "never started elsewhere");
+        assert!(bench.now < taken_at + TIMING.unreported_ms + 500, "never started elsewhere");
     }
-    assert!(bench.now > taken_at + TIMING.unheard_ms);
+    assert!(bench.now > taken_at + TIMING.unreported_ms);
 }
 
 #[test]
@@ -282,7 +292,7 @@
         assert_eq!(starts(&orders).len(), 1);
         bench.run(&orders);
         bench.pass(10);
-        bench.end(job, How::Failed);
+        bench.end(job, EndReason::Failed);
     }
     bench.reports[1].worker.as_mut().unwrap().draining = false;
     bench.pass(10);
@@ -320,7 +330,7 @@
         }
         if stopping.is_some_and(|until| bench.now >= until) {
             for job in &stops {
-                bench.end(job, How::Stopped);
+                bench.end(job, EndReason::Stopped);
             }
         }
         let urgent = starts(&orders).iter().filter(|(_, start)| start.task.job == "urgent").count();
@@ -348,7 +358,7 @@
     bench.submit("covered", "urgent", vec![step(1, 8)]);
     let submitted_at = bench.now;
     let latest = submitted_at + TIMING.reclaim_ms - TIMING.stop_ms;
-    let stops = |orders: &[Orders]| orders.iter().map(|orders| orders.stops.len()).sum::<usize>();
+    let stops = |orders: &[Assignments]| orders.iter().map(|orders| orders.stops.len()).sum::<usize>();
     while stops(&bench.pass(50)) == 0 {
         assert!(bench.now < latest, "nothing was stopped in time for the bound");
     }
@@ -365,17 +375,17 @@
         let (job, queue) = (job.to_owned(), queue.to_owned());
         let sub = Submission { job, queue, account, steps, ..Submission::default() };
         let verdict = bench.planner.submit(bench.now, bench.now, &sub);
-        assert!(matches!(verdict, Verdict::Accepted { .. }), "{verdict:?}");
+        assert!(matches!(verdict, Admission::Accepted { .. }), "{verdict:?}");
         let orders = bench.pass(10);
         bench.run(&orders);
     };
     // Work that saves its progress costs little to end.
-    submit(&mut bench, "low", "low", Step { estimate_ms: 60_000, saves: true, ..step(2, 8) });
+    submit(&mut bench, "low", "low", Step { estimate_ms: 60_000, saves_progress: true, ..step(2, 8) });
     if held {
         submit(&mut bench, "holds", "urgent", Step { estimate_ms: 20_000, ..step(1, 8) });
     }
     submit(&mut bench, "urgent", "urgent", step(3, 8));
-    let stops = |orders: &[Orders]| orders.iter().map(|orders| orders.stops.len()).sum::<usize>();
+    let stops = |orders: &[Assignments]| orders.iter().map(|orders| orders.stops.len()).sum::<usize>();
     let most = (0..100).map(|_| stops(&bench.pass(100))).max();
     assert_eq!(most, Some(expected));
 }
@@ -388,7 +398,7 @@
         let (job, queue) = (job.to_owned(), queue.to_owned());
         let sub = Submission { job, queue, account, steps, ..Submission::default() };
         let verdict = bench.planner.submit(bench.now, bench.now, &sub);
-        assert!(matches!(verdict, Verdict::Accepted { .. }), "{verdict:?}");
+        assert!(matches!(verdict, Admission::Accepted { .. }), "{verdict:?}");
     };
     // It leaves the reserve for urgent work free.
     guest(&mut bench, "low", "low", Step { estimate_ms: 60_000, ..step(1, 6) });
@@ -404,7 +414,7 @@
         guest(&mut bench, &job, "urgent", step(1, 8));
         let stopped = (0..60).any(|_| bench.pass(100).iter().any(|orders| !orders.stops.is_empty()));
         made_room.push(stopped);
-        bench.end("low", if stopped { How::Stopped } else { How::Failed });
+        bench.end("low", if stopped { EndReason::Stopped } else { EndReason::Failed });
         if !stopped {
             break;
         }
@@ -414,7 +424,7 @@
         for _ in 0..200 {
             bench.pass(100);
         }
-        bench.end(&job, How::Done);
+        bench.end(&job, EndReason::Done);
     }
     assert!(made_room.len() > 1 && made_room[0], "{made_room:?}");
     assert_eq!(made_room.last(), Some(&false), "{made_room:?}");
@@ -434,7 +444,7 @@
     }
     let orders = bench.pass(10);
     bench.run(&orders);
-    bench.submit("gang", "urgent", vec![Step { gang: true, one_rack: true, ..step(3, 8) }]);
+    bench.submit("gang", "urgent", vec![Step { gang: true, prefers_one_rack: true, ..step(3, 8) }]);
     let submitted_at = bench.now;
     while starts(&bench.pass(50)).len() < 3 {
         assert!(bench.now <= submitted_at + TIMING.reclaim_ms, "not begun within the bound");
@@ -444,7 +454,7 @@
 #[test]
 fn place_orders_steps_and_occurrences() {
     let mut bench = Bench::new(1);
-    let second = Step { after: vec![0], ..step(1, 1) };
+    let second = Step { depends_on: vec![0], ..step(1, 1) };
     let sub = Submission {
         job: "a".to_owned(),
         queue: "plain".to_owned(),
@@ -459,7 +469,7 @@
         bench.run(&orders);
         seen.extend(starts(&orders).into_iter().map(|(_, start)| (bench.now, start.task.clone())));
         bench.pass(10);
-        bench.end("a", How::Done);
+        bench.end("a", EndReason::Done);
     }
     let order: Vec<(u32, u32)> = seen.iter().map(|(_, task)| (task.occurrence, task.step)).collect();
     assert_eq!(order, [(0, 0), (0, 1), (1, 0), (1, 1)]);
@@ -470,8 +480,8 @@
 #[test]
 fn note_end_of_a_lasting_subtask_starts_it_again() {
     let mut bench = Bench::new(1);
-    bench.submit("a", "plain", vec![Step { lasting: true, ..step(1, 1) }]);
-    for how in [How::Done, How::Failed, How::Failed, How::Failed, How::Lapsed] {
+    bench.submit("a", "plain", vec![Step { long_running: true, ..step(1, 1) }]);
+    for how in [EndReason::Done, EndReason::Failed, EndReason::Failed, EndReason::Failed, EndReason::Lapsed] {
         let orders = bench.pass(4_000);
         assert_eq!(starts(&orders).len(), 1, "after {how:?}");
         bench.run(&orders);
@@ -500,18 +510,19 @@
 #[test]
 fn set_paces_pauses_what_fills_beside_a_strained_subtask() {
     let mut bench = Bench::new(1);
-    bench.submit("serve", "plain", vec![Step { lasting: true, target_ms: Some(100), ..step(1, 1) }]);
-    bench.submit("fill", "low", vec![Step { fills: true, ..step(1, 0) }]);
+    bench.submit("serve", "plain", vec![Step { long_running: true, target_ms: Some(100), ..step(1, 1) }]);
+    bench.submit("fill", "low", vec![Step { uses_idle_cpu: true, ..step(1, 0) }]);
     let orders = bench.pass(10);
     bench.run(&orders);
     assert_eq!(starts(&orders).len(), 2);
     let figure = |bench: &mut Bench, ms: u64| {
         for run in bench.reports[0].running.iter_mut().filter(|run| run.task.job == "serve") {
-            run.figure = ms;
+            run.measurement = ms;
         }
     };
     figure(&mut bench, 95);
-    let pace = |orders: &[Orders]| orders[0].paces.first().map(|pace| (pace.task.job.clone(), pace.percent));
+    let pace =
+        |orders: &[Assignments]| orders[0].paces.first().map(|pace| (pace.task.job.clone(), pace.percent));
     assert_eq!(pace(&bench.pass(500)), Some(("fill".to_owned(), 0)));
     figure(&mut bench, 20);
     bench.pass(500);
@@ -525,6 +536,6 @@
 )]
 fn submit_refuses_what_can_never_run(step: Step) {
     let mut bench = Bench::new(2);
-    assert!(matches!(bench.submit("a", "plain", vec![step]), Verdict::Refused { .. }));
+    assert!(matches!(bench.submit("a", "plain", vec![step]), Admission::Refused { .. }));
     assert_eq!(bench.planner.state("a"), None);
 }
--- a/crates/fleet/tests/records.rs
+++ b/crates/fleet/tests/records.rs
@@ -2,13 +2,13 @@
 
 use sorrelland_fleet::job::{Step, Submission};
 use sorrelland_fleet::record::{self, new_job};
-use sorrelland_fleet::unit::{UnitKey, Where};
+use sorrelland_fleet::unit::{UnitKey, UnitState};
 
 fn job_of_two() -> sorrelland_fleet::Job {
     let step = Step { count: 2, ..Step::default() };
     let sub = Submission { job: "00000000000000a1".to_owned(), steps: vec![step], ..Submission::default() };
     let mut job = new_job(sub, 7);
-    job.open(0);
+    job.create_units(0);
     job
 }
 
@@ -24,7 +24,7 @@
 fn read_keeps_units_that_never_started() {
     let mut job = job_of_two();
     let first = UnitKey { occurrence: 0, step: 0, index: 0 };
-    job.units.get_mut(&first).unwrap().at = Where::Done;
+    job.units.get_mut(&first).unwrap().state = UnitState::Done;
     job.units.get_mut(&first).unwrap().run = 1;
     let read = read_back(&job);
     assert_eq!(read.units.len(), 2);
