--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -40,14 +40,14 @@
 /// Returns what a path below [`VIEWS`] asks for.
 fn query(view: &str) -> Option<Query> {
     match view.trim_end_matches('/').split_once('/') {
-        Some(("why", job)) if !job.is_empty() && !job.contains('/') => Some(Query::Why(job.to_owned())),
+        Some(("why", job)) if !job.is_empty() && !job.contains('/') => Some(Query::Explain(job.to_owned())),
         Some(_) => None,
         None => match view.trim_end_matches('/') {
             "jobs" => Some(Query::Jobs),
             "workers" => Some(Query::Workers),
             "accounts" => Some(Query::Accounts),
             "refused" => Some(Query::Refused),
-            "burn" => Some(Query::Burn),
+            "burn" => Some(Query::ServiceLevels),
             _ => None,
         },
     }
--- a/crates/control/src/seat.rs
+++ b/crates/control/src/seat.rs
@@ -135,7 +135,7 @@
             metrics::level("workers_heard", heard as u64);
             metrics::level("workers_known", known as u64);
             metrics::level("jobs_live", planner.live_jobs() as u64);
-            if planner.has_questions() {
+            if planner.has_approval_requests() {
                 self.questions.notify_one();
             }
             (planner.take_log(), planner.take_poked())
@@ -246,7 +246,7 @@
     /// Asks the policy service, which answers one question after another anyway.
     async fn run_questions(self: Arc<Self>, policy: Policy) {
         while !self.is_over() {
-            let question = lock(&self.planner).next_question(now_ms());
+            let question = lock(&self.planner).next_approval_request(now_ms());
             let Some((step, workers)) = question else {
                 // Either a question, or a look whether the office is over.
                 let _ = tokio::time::timeout(QUESTION_WAIT, self.questions.notified()).await;
@@ -256,7 +256,7 @@
             match policy.ask(&name, &workers).await {
                 Ok(told) => {
                     let mut planner = lock(&self.planner);
-                    planner.note_approvals(now_ms(), &step, &workers, &told.admitted, told.valid_ms);
+                    planner.record_approvals(now_ms(), &step, &workers, &told.admitted, told.valid_ms);
                     drop(planner);
                     self.pass.notify_one();
                 }
--- a/crates/fleet/src/intake.rs
+++ b/crates/fleet/src/intake.rs
@@ -195,7 +195,7 @@
             set_ending(unit, now);
         }
         if gone.why == TICKET_REFUSED {
-            self.approvals.spoil(&Self::step_of(&gone.task), life);
+            self.approvals.invalidate(&Self::step_key_of(&gone.task), life);
         }
         let (task, run, why) = (&gone.task, gone.run, &gone.why);
         self.note(format!("event=run_gone job={} task={task} run={run} worker={life} why={why:?}", task.job));
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,7 +4,7 @@
 //! that counts suspension, `wall` is milliseconds since 1970.
 
 pub mod admit;
-pub mod advice;
+pub mod approvals;
 pub mod desired;
 pub mod intake;
 pub mod job;
--- a/crates/fleet/src/place.rs
+++ b/crates/fleet/src/place.rs
@@ -1,7 +1,7 @@
-//! Placement: which waiting unit goes where.
+//! Placement: selects workers for waiting units.
 //!
-//! Answers the load of the heaviest days: bursts of urgent narrow gangs, wide gangs with whole workers for each
-//! member, and broad steps of single subtasks, all at once on a fleet that is nearly full.
+//! Designed for peak load: bursts of urgent narrow gangs, wide gangs whose members each need a whole worker, and
+//! steps of many single subtasks, all at the same time on a fleet that is nearly full.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,32 +10,31 @@
 use crate::preempt;
 use crate::room::Room;
 use crate::unit::{UnitKey, Where};
-use crate::value::{Prospect, Times, earnable, work_core_s};
+use crate::value::{LatestStarts, Timeliness, attainable_value, estimated_work_core_s};
 use crate::worker::Worker;
 
-/// Time for which room that is being vacated is kept for the unit it was vacated for, in milliseconds: a stop, its
-/// report, and a lost answer on the way.
-const CLAIM_MS: u64 = 2_500;
+/// Covers a stop, the report of its end, and one lost reply.
+const CLAIM_DURATION_MS: u64 = 2_500;
 
-/// Share of a unit's estimate for which it waits for room near its data or on one rack, in thousandths; away from
-/// there it takes several times as long.
-const NEAR_WAIT_MILLI: u64 = 1_000;
+/// Share of a unit's estimate for which it waits for resources on its preferred rack or within a single rack, in
+/// thousandths. Elsewhere it takes several times as long.
+const LOCALITY_WAIT_MILLI: u64 = 1_000;
 
-/// Part of the bound of a guarantee that is kept for storing, orders and a lost answer, in milliseconds.
-const RECLAIM_MARGIN_MS: u64 = 900;
+/// Part of a guarantee's bound that is left for storing the placement, delivering the assignments, and one lost
+/// reply.
+const GUARANTEE_MARGIN_MS: u64 = 900;
 
-/// Share of a service's accelerators that is kept free for urgent jobs while others can wait, in thousandths: a stop
-/// takes most of the time that an urgent job has to spare.
-const RESERVE_MILLI: i64 = 150;
+/// Share of a service's accelerators that is kept free for urgent jobs while others can wait, in thousandths. Freeing
+/// them on demand is too slow: a stop takes most of the slack that an urgent job has.
+const URGENT_RESERVE_MILLI: i64 = 150;
 
-/// Time since the newest urgent job for which a reserve is kept, in milliseconds: without urgent work there is
-/// nothing to keep it for.
-const URGENT_WITHIN_MS: u64 = 30_000;
+/// Time after the newest urgent job for which the reserve is kept; without urgent work it serves no purpose.
+const RESERVE_AFTER_URGENT_MS: u64 = 30_000;
 
-/// Time before its latest start from which a unit may use the reserve, in milliseconds.
-const RESERVE_SLACK_MS: u64 = 1_000;
+/// Time before its latest start from which a unit that is not urgent may use the reserve.
+const RESERVE_ACCESS_LEAD_MS: u64 = 1_000;
 
-/// Room that is kept for units while it is being vacated.
+/// Resources that are reserved for units while the runs that hold them are being stopped.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
     by_unit: BTreeMap<(String, UnitKey), Claim>,
@@ -44,28 +43,32 @@
 #[derive(Clone, Debug)]
 struct Claim {
     workers: Vec<String>,
-    each: Room,
-    /// Whether a guarantee covers the unit; only such a claim holds against another that is covered.
+    per_member: Room,
+    /// Whether a guarantee covers the unit. Guaranteed units ignore the claims of units that are not guaranteed.
     guaranteed: bool,
-    until: u64,
+    expires_at: u64,
 }
 
 impl Claims {
-    /// Keeps room on `workers`, one entry a member, for a unit of a candidate's step.
+    /// Reserves `per_member` on every entry of `workers`, one entry per member, for a unit of the candidate's step.
     pub fn insert(
         &mut self,
         candidate: &Candidate,
         key: UnitKey,
         workers: Vec<String>,
-        each: Room,
+        per_member: Room,
         now: u64,
     ) {
-        let claim = Claim { workers, each, guaranteed: candidate.guaranteed, until: now + CLAIM_MS };
+        let claim = Claim {
+            workers,
+            per_member,
+            guaranteed: candidate.guaranteed,
+            expires_at: now + CLAIM_DURATION_MS,
+        };
         self.by_unit.insert((candidate.job.clone(), key), claim);
     }
 
-    /// Returns whether a unit has a claim.
-    pub fn has(&self, name: &str, key: UnitKey) -> bool {
+    pub fn contains(&self, name: &str, key: UnitKey) -> bool {
         self.by_unit.contains_key(&(name.to_owned(), key))
     }
 
@@ -73,119 +76,125 @@
         self.by_unit.remove(&(name.to_owned(), key));
     }
 
-    fn expire(&mut self, now: u64, waits: impl Fn(&str, UnitKey) -> bool) {
-        self.by_unit.retain(|(name, key), claim| claim.until > now && waits(name, *key));
+    fn expire(&mut self, now: u64, is_waiting: impl Fn(&str, UnitKey) -> bool) {
+        self.by_unit.retain(|(name, key), claim| claim.expires_at > now && is_waiting(name, *key));
     }
 }
 
-/// A unit that waits, with what its order depends on.
+/// A waiting unit with the values that determine its rank.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Job of the unit.
     pub job: String,
-    /// Place in the job.
     pub key: UnitKey,
-    /// Urgency of its queue; 0 comes first.
+    /// Priority of its queue; 0 is the most urgent.
     pub priority: u32,
-    /// Whether a guarantee covers the job, so that it has to begin within a bound.
+    /// Whether a guarantee covers the job, which then has to start within a bound.
     pub guaranteed: bool,
-    /// What can still be earned.
-    pub prospect: Prospect,
-    /// Worth of the job when it ends in time.
-    pub worth: f64,
-    /// Worth that can still be earned, for each core-second of the job.
-    pub density: f64,
-    /// Latest start that keeps the prospect, on the wall clock in milliseconds.
-    pub start_by: u64,
-    /// Whether a guarantee's bound is so near that it has to begin now, wherever there is room.
-    pub must_begin: bool,
+    /// Timeliness of the job if the unit starts now.
+    pub timeliness: Timeliness,
+    /// Value of the job if it ends in time.
+    pub value: f64,
+    /// Value that the job can still attain, per core-second of its work.
+    pub value_density: f64,
+    /// Latest start that preserves the timeliness, in milliseconds since 1970.
+    pub latest_start: u64,
+    /// Whether the guarantee's bound is so near that the unit has to start now, on any rack.
+    pub must_start: bool,
 }
 
-/// Room left on the workers that may be used, while a pass goes on.
-pub struct Offer<'a> {
-    /// Workers by life with the room that is left.
-    pub left: BTreeMap<&'a str, (&'a Worker, Room)>,
+/// Workers that accept a unit, with the resources available to it.
+pub struct Available<'a> {
+    /// Workers by incarnation, each with its free resources less the claims of other units.
+    pub by_id: BTreeMap<&'a str, (&'a Worker, Room)>,
 }
 
 impl Planner {
-    /// Places what waits, the most urgent first, and vacates room for what is worth it.
-    pub fn place_all(&mut self, now: u64, wall: u64) {
+    /// Places waiting units in order of rank, and preempts others for a unit that doesn't fit where this pays off.
+    pub fn place_waiting_units(&mut self, now: u64, wall: u64) {
         let jobs = &self.jobs;
         self.claims.expire(now, |name, key| {
             let unit = jobs.get(name).filter(|job| job.outcome.is_none()).and_then(|job| job.units.get(&key));
             unit.is_some_and(|unit| unit.at == Where::Waiting)
         });
         let candidates = self.candidates(now, wall);
-        self.want_approvals(now, &candidates);
+        self.request_approvals(now, &candidates);
         for candidate in candidates {
             let (name, key) = (&candidate.job, candidate.key);
-            if let Some(lives) = self.find(now, wall, &candidate) {
+            if let Some(incarnations) = self.find_workers(now, wall, &candidate) {
                 self.claims.remove(name, key);
-                self.place(now, name, key, &lives);
-            } else if !self.claims.has(name, key) {
-                preempt::make_room(self, now, wall, &candidate);
+                self.place(now, name, key, &incarnations);
+            } else if !self.claims.contains(name, key) {
+                preempt::preempt_for(self, now, wall, &candidate);
             }
         }
     }
 
-    /// Asks for approvals of the steps that need them and have none that can be used.
-    fn want_approvals(&mut self, now: u64, candidates: &[Candidate]) {
+    /// Requests approvals for the steps that need one and have none that is valid.
+    fn request_approvals(&mut self, now: u64, candidates: &[Candidate]) {
         for candidate in candidates {
             if self.queue_of(&candidate.job).is_some_and(|queue| queue.advised) {
                 let step = (candidate.job.clone(), candidate.key.occurrence, candidate.key.step);
-                let any = self.workers.keys().any(|life| self.approvals.usable(&step, life, now).is_some());
-                if !any {
-                    self.approvals.want(step, now);
+                let has_ticket = self
+                    .workers
+                    .keys()
+                    .any(|incarnation| self.approvals.valid_ticket(&step, incarnation, now).is_some());
+                if !has_ticket {
+                    self.approvals.request(step, now);
                 }
             }
         }
     }
 
-    /// Returns the units that wait and whose turn has come, in the order in which they are placed.
+    /// Returns the waiting units whose dependencies are done and whose time has come, in order of placement.
     pub fn candidates(&self, now: u64, wall: u64) -> Vec<Candidate> {
-        let covered = self.covered_by_guarantees();
-        let bound_ms = self.timing.reclaim_ms.saturating_sub(self.timing.stop_ms + RECLAIM_MARGIN_MS);
+        let covered = self.jobs_within_guarantees();
+        let start_within_ms =
+            self.timing.reclaim_ms.saturating_sub(self.timing.stop_ms + GUARANTEE_MARGIN_MS);
         let mut candidates = Vec::new();
         for name in &self.live {
             let Some(job) = self.jobs.get(name).filter(|job| job.outcome.is_none()) else { continue };
             let Some(queue) = self.desired.queue(&job.sub.queue) else { continue };
-            let work = work_core_s(&job.sub).max(1.0);
-            let worth = self.mean_work(&job.sub.queue).worth(queue.priority, work);
+            let work = estimated_work_core_s(&job.sub).max(1.0);
+            let value = self.mean_work(&job.sub.queue).value(queue.priority, work);
             for (key, unit) in &job.units {
                 if unit.at != Where::Waiting || !job.turn_has_come(*key, wall) {
                     continue;
                 }
                 let Some(step) = job.sub.steps.get(key.step as usize) else { continue };
-                let times = Times::new(job, queue, *key);
-                let prospect = times.prospect(wall);
+                let latest_starts = LatestStarts::new(job, queue, *key);
+                let timeliness = latest_starts.timeliness(wall);
                 let guaranteed = queue.priority == 0 && covered.contains(name.as_str());
                 candidates.push(Candidate {
                     job: name.clone(),
                     key: *key,
                     priority: if step.fills { u32::MAX } else { queue.priority },
                     guaranteed,
-                    prospect,
-                    worth,
-                    density: earnable(worth, prospect) / work,
-                    start_by: if prospect == Prospect::InTime { times.in_time } else { times.late },
-                    must_begin: guaranteed && now >= unit.since + bound_ms,
+                    timeliness,
+                    value,
+                    value_density: attainable_value(value, timeliness) / work,
+                    latest_start: if timeliness == Timeliness::InTime {
+                        latest_starts.in_time
+                    } else {
+                        latest_starts.late
+                    },
+                    must_start: guaranteed && now >= unit.since + start_within_ms,
                 });
             }
         }
         candidates.sort_by(|one, other| {
-            let first =
-                |c: &Candidate| (!c.guaranteed, c.prospect == Prospect::Worthless, c.priority, c.prospect);
-            first(one)
-                .cmp(&first(other))
-                .then(other.density.total_cmp(&one.density))
-                .then(one.start_by.cmp(&other.start_by))
+            let rank =
+                |c: &Candidate| (!c.guaranteed, c.timeliness == Timeliness::Missed, c.priority, c.timeliness);
+            rank(one)
+                .cmp(&rank(other))
+                .then(other.value_density.total_cmp(&one.value_density))
+                .then(one.latest_start.cmp(&other.latest_start))
                 .then(one.key.cmp(&other.key))
         });
         candidates
     }
 
-    /// Returns the urgent jobs whose account needs no more accelerators for all of them than its guarantee has.
-    pub(crate) fn covered_by_guarantees(&self) -> BTreeSet<&str> {
+    /// Returns the urgent jobs of the accounts whose guarantee covers all their urgent jobs together.
+    pub(crate) fn jobs_within_guarantees(&self) -> BTreeSet<&str> {
         let mut by_account: BTreeMap<&str, (i64, Vec<&str>)> = BTreeMap::new();
         for name in &self.live {
             let Some(job) = self.jobs.get(name).filter(|job| job.outcome.is_none()) else { continue };
@@ -193,26 +202,26 @@
                 continue;
             }
             let account = by_account.entry(&job.sub.account).or_default();
-            account.0 += accelerators_at_once(&job.sub);
+            account.0 += peak_accelerators(&job.sub);
             account.1.push(name);
         }
-        let within = |account: &&str, need: i64| {
+        let is_covered = |account: &&str, need: i64| {
             self.desired.accounts.get(*account).is_some_and(|own| need <= own.guaranteed_accelerators)
         };
-        let covered = by_account.iter().filter(|(account, (need, _))| within(account, *need));
+        let covered = by_account.iter().filter(|(account, (need, _))| is_covered(account, *need));
         covered.flat_map(|(_, (_, names))| names.iter().copied()).collect()
     }
 
-    /// Returns the workers that may take a step of a job now, with the room that no claim of others keeps.
-    pub fn offer<'a>(&'a self, now: u64, candidate: &Candidate, step: &Step) -> Offer<'a> {
-        let Some(queue) = self.queue_of(&candidate.job) else { return Offer { left: BTreeMap::new() } };
-        let approved = (candidate.job.clone(), candidate.key.occurrence, candidate.key.step);
-        let mut left: BTreeMap<&str, (&Worker, Room)> = self
+    /// Returns the workers on which a unit of a step may start now, with their resources that no other unit claims.
+    pub fn available_workers<'a>(&'a self, now: u64, candidate: &Candidate, step: &Step) -> Available<'a> {
+        let Some(queue) = self.queue_of(&candidate.job) else { return Available { by_id: BTreeMap::new() } };
+        let step_key = (candidate.job.clone(), candidate.key.occurrence, candidate.key.step);
+        let mut by_id: BTreeMap<&str, (&Worker, Room)> = self
             .workers
             .values()
-            .filter(|worker| worker.info.service == queue.service && usable(worker, step, now))
+            .filter(|worker| worker.info.service == queue.service && accepts_step(worker, step, now))
             .filter(|worker| {
-                !queue.advised || self.approvals.usable(&approved, &worker.info.life, now).is_some()
+                !queue.advised || self.approvals.valid_ticket(&step_key, &worker.info.life, now).is_some()
             })
             .map(|worker| (worker.info.life.as_str(), (worker, worker.free())))
             .collect();
@@ -221,96 +230,107 @@
             if own || (candidate.guaranteed && !claim.guaranteed) {
                 continue;
             }
-            for life in &claim.workers {
-                if let Some((_, room)) = left.get_mut(life.as_str()) {
-                    *room -= claim.each;
+            for incarnation in &claim.workers {
+                if let Some((_, free)) = by_id.get_mut(incarnation.as_str()) {
+                    *free -= claim.per_member;
                 }
             }
         }
-        Offer { left }
+        Available { by_id }
     }
 
-    /// Returns a worker for each member of a unit, or nothing while there is no room for all of them.
-    fn find(&self, now: u64, wall: u64, candidate: &Candidate) -> Option<Vec<String>> {
+    /// Returns a worker for each member of a unit; `None` while they don't all fit or waiting for a better place pays
+    /// off.
+    fn find_workers(&self, now: u64, wall: u64, candidate: &Candidate) -> Option<Vec<String>> {
         let job = self.jobs.get(&candidate.job)?;
         let step = job.sub.steps.get(candidate.key.step as usize)?;
         let unit = job.units.get(&candidate.key)?;
-        if self.leaves_no_reserve(now, wall, candidate, step) {
+        if self.would_use_reserve(now, wall, candidate, step) {
             return None;
         }
-        let mut offer = self.offer(now, candidate, step);
-        self.limit_per_worker(&mut offer, candidate, step);
-        let patience = step.estimate_ms * NEAR_WAIT_MILLI / 1_000;
-        let patient = now < unit.since + patience;
+        let mut available = self.available_workers(now, candidate, step);
+        self.drop_workers_at_limit(&mut available, candidate, step);
+        let locality_wait_ms = step.estimate_ms * LOCALITY_WAIT_MILLI / 1_000;
+        let wait_for_locality = now < unit.since + locality_wait_ms;
         if unit.failed_on.len() > 1 || (!unit.failed_on.is_empty() && !step.gang) {
-            let others = offer.left.keys().any(|life| !unit.failed_on.iter().any(|failed| failed == life));
+            let others = available
+                .by_id
+                .keys()
+                .any(|incarnation| !unit.failed_on.iter().any(|failed| failed == incarnation));
             if others {
-                offer.left.retain(|life, _| !unit.failed_on.iter().any(|failed| failed == life));
+                available
+                    .by_id
+                    .retain(|incarnation, _| !unit.failed_on.iter().any(|failed| failed == incarnation));
             }
         }
         match step.gang {
-            true => find_gang(&offer, step, patient, candidate.must_begin),
-            false => find_single(&offer, step, patient),
+            true => find_workers_for_gang(&available, step, wait_for_locality, candidate.must_start),
+            false => find_worker_for_subtask(&available, step, wait_for_locality),
         }
     }
 
-    /// Returns whether a unit that can still wait would take accelerators that are kept free for urgent jobs.
-    pub(crate) fn leaves_no_reserve(&self, now: u64, wall: u64, candidate: &Candidate, step: &Step) -> bool {
-        let urgent = self.urgent_at.is_some_and(|at| now <= at + URGENT_WITHIN_MS);
-        if !urgent || candidate.priority == 0 || wall + RESERVE_SLACK_MS >= candidate.start_by {
+    /// Returns whether a unit that can still wait would use accelerators that are reserved for urgent jobs.
+    pub(crate) fn would_use_reserve(&self, now: u64, wall: u64, candidate: &Candidate, step: &Step) -> bool {
+        let urgent = self.urgent_at.is_some_and(|at| now <= at + RESERVE_AFTER_URGENT_MS);
+        if !urgent || candidate.priority == 0 || wall + RESERVE_ACCESS_LEAD_MS >= candidate.latest_start {
             return false;
         }
         let Some(queue) = self.queue_of(&candidate.job) else { return false };
         let workers = || self.workers.values().filter(|worker| worker.info.service == queue.service);
         let all: i64 = workers().map(|worker| worker.info.capacity.accelerators).sum();
-        let free = workers().filter(|worker| usable(worker, &Step::default(), now));
+        let free = workers().filter(|worker| accepts_step(worker, &Step::default(), now));
         let free: i64 = free.map(|worker| worker.free().accelerators.max(0)).sum();
         let members = if step.gang { i64::from(step.count) } else { 1 };
-        free - step.counted().accelerators * members < all * RESERVE_MILLI / 1_000
+        free - step.counted().accelerators * members < all * URGENT_RESERVE_MILLI / 1_000
     }
 
-    /// Leaves only room for as many more subtasks of a step as its limit per worker allows.
-    fn limit_per_worker(&self, offer: &mut Offer<'_>, candidate: &Candidate, step: &Step) {
-        let Some(most) = step.most_per_worker else { return };
+    /// Removes the workers that already run as many subtasks of a step as its limit per worker allows.
+    fn drop_workers_at_limit(&self, available: &mut Available<'_>, candidate: &Candidate, step: &Step) {
+        let Some(max_per_worker) = step.most_per_worker else { return };
         let (occurrence, number) = (candidate.key.occurrence, candidate.key.step);
-        offer.left.retain(|_, (worker, _)| {
+        available.by_id.retain(|_, (worker, _)| {
             let same = worker.placed.iter().filter(|(task, _)| {
                 task.job == candidate.job && task.occurrence == occurrence && task.step == number
             });
-            (same.count() as u32) < most
+            (same.count() as u32) < max_per_worker
         });
     }
 }
 
-/// Returns the accelerators that the widest step of a job takes.
-pub fn accelerators_at_once(sub: &Submission) -> i64 {
+/// Returns the accelerators that the widest step of a job uses when all its subtasks run at once.
+pub fn peak_accelerators(sub: &Submission) -> i64 {
     sub.steps.iter().map(|step| step.room.accelerators * i64::from(step.count)).max().unwrap_or(0)
 }
 
-/// Returns whether a worker may take new work of a step at all.
-pub fn usable(worker: &Worker, step: &Step, now: u64) -> bool {
+/// Returns whether a step may be placed on a worker, apart from free resources.
+pub fn accepts_step(worker: &Worker, step: &Step, now: u64) -> bool {
     !worker.info.draining
         && worker.out_until <= now
         && worker.heard_at + HEARD_WITHIN_MS >= now
         && step.label.as_deref().is_none_or(|label| worker.has_label(label))
 }
 
-fn find_single(offer: &Offer<'_>, step: &Step, patient: bool) -> Option<Vec<String>> {
+fn find_worker_for_subtask(
+    available: &Available<'_>,
+    step: &Step,
+    wait_for_locality: bool,
+) -> Option<Vec<String>> {
     let need = step.counted();
-    let fits = offer.left.iter().filter(|(_, (_, room))| room.holds(&need));
+    let fits = available.by_id.iter().filter(|(_, (_, free))| free.holds(&need));
     let near = |worker: &Worker| step.near.as_deref().is_none_or(|rack| worker.has_label(rack));
-    let best = fits.min_by_key(|(_, (worker, room))| (!near(worker), left_over(room, &need, worker)))?;
-    // Only a rack with workers of its own is worth waiting for.
-    let near_exists = offer.left.values().any(|(worker, _)| near(worker));
-    if patient && near_exists && !near(best.1.0) {
+    let best = fits.min_by_key(|(_, (worker, free))| (!near(worker), fit_order(free, &need, worker)))?;
+    // Waiting is pointless if no available worker is on the preferred rack.
+    let near_exists = available.by_id.values().any(|(worker, _)| near(worker));
+    if wait_for_locality && near_exists && !near(best.1.0) {
         return None;
     }
     Some(vec![(*best.0).to_owned()])
 }
 
-/// Returns the room that would be left, accelerators first: the tightest fit keeps whole workers whole.
-fn left_over(room: &Room, need: &Room, worker: &Worker) -> (i64, i64) {
-    let mut rest = *room;
+/// Returns a sort key, the resources that would remain free, accelerators first. The tightest fit leaves whole workers
+/// free; a step without accelerators prefers workers that are in use.
+fn fit_order(free: &Room, need: &Room, worker: &Worker) -> (i64, i64) {
+    let mut rest = *free;
     rest -= *need;
     let idle = i64::from(worker.used == Room::default());
     match need.accelerators {
@@ -319,42 +339,47 @@
     }
 }
 
-fn find_gang(offer: &Offer<'_>, step: &Step, patient: bool, must_begin: bool) -> Option<Vec<String>> {
+fn find_workers_for_gang(
+    available: &Available<'_>,
+    step: &Step,
+    wait_for_locality: bool,
+    must_start: bool,
+) -> Option<Vec<String>> {
     let mut racks: BTreeMap<&str, Vec<(&Worker, Room)>> = BTreeMap::new();
-    for (worker, room) in offer.left.values() {
-        racks.entry(worker.rack()).or_default().push((worker, *room));
+    for (worker, free) in available.by_id.values() {
+        racks.entry(worker.rack()).or_default().push((worker, *free));
     }
     let near = |rack: &str| step.near.as_deref().is_none_or(|wanted| wanted == rack);
-    let within = racks.iter().filter_map(|(rack, workers)| {
-        let lives = fill(workers, step)?;
-        let rest: i64 = workers.iter().map(|(_, room)| room.accelerators).sum();
-        Some(((!near(rack), rest), lives))
+    let in_one_rack = racks.iter().filter_map(|(rack, workers)| {
+        let incarnations = assign_members(workers, step)?;
+        let rest: i64 = workers.iter().map(|(_, free)| free.accelerators).sum();
+        Some(((!near(rack), rest), incarnations))
     });
-    if let Some((_, lives)) = within.min_by_key(|(order, _)| *order) {
-        return Some(lives);
+    if let Some((_, incarnations)) = in_one_rack.min_by_key(|(order, _)| *order) {
+        return Some(incarnations);
     }
-    let possible = |workers: &Vec<(&Worker, Room)>| {
+    let fits_when_empty = |workers: &Vec<(&Worker, Room)>| {
         let empty: Vec<_> = workers.iter().map(|(worker, _)| (*worker, worker.info.capacity)).collect();
-        fill(&empty, step).is_some()
+        assign_members(&empty, step).is_some()
     };
-    if step.one_rack && !must_begin && (patient || racks.values().any(possible)) {
+    if step.one_rack && !must_start && (wait_for_locality || racks.values().any(fits_when_empty)) {
         return None;
     }
-    let all: Vec<(&Worker, Room)> = offer.left.values().copied().collect();
-    fill(&all, step)
+    let all: Vec<(&Worker, Room)> = available.by_id.values().copied().collect();
+    assign_members(&all, step)
 }
 
-/// Returns a worker for each member of a gang, the tightest fits first, or nothing if they don't all fit.
-pub fn fill(workers: &[(&Worker, Room)], step: &Step) -> Option<Vec<String>> {
+/// Returns a worker for each subtask of a step, the tightest fits first; `None` if they don't all fit.
+pub fn assign_members(workers: &[(&Worker, Room)], step: &Step) -> Option<Vec<String>> {
     let need = step.counted();
-    let most = step.most_per_worker.map_or(i64::MAX, i64::from);
-    let mut order: Vec<_> = workers.iter().filter(|(_, room)| room.holds(&need)).collect();
-    order.sort_by_key(|(worker, room)| (room.accelerators, room.millicores, worker.info.life.clone()));
-    let mut lives = Vec::new();
-    for (worker, room) in order {
-        let wanted = i64::from(step.count) - lives.len() as i64;
-        let here = room.copies_of(&need).min(most).min(wanted);
-        lives.extend((0..here).map(|_| worker.info.life.clone()));
+    let max_per_worker = step.most_per_worker.map_or(i64::MAX, i64::from);
+    let mut order: Vec<_> = workers.iter().filter(|(_, free)| free.holds(&need)).collect();
+    order.sort_by_key(|(worker, free)| (free.accelerators, free.millicores, worker.info.life.clone()));
+    let mut incarnations = Vec::new();
+    for (worker, free) in order {
+        let wanted = i64::from(step.count) - incarnations.len() as i64;
+        let copies = free.copies_of(&need).min(max_per_worker).min(wanted);
+        incarnations.extend((0..copies).map(|_| worker.info.life.clone()));
     }
-    (lives.len() == step.count as usize).then_some(lives)
+    (incarnations.len() == step.count as usize).then_some(incarnations)
 }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 
 use crate::admit;
-use crate::advice::Approvals;
+use crate::approvals::Approvals;
 use crate::desired::{Desired, Queue};
 use crate::job::{Job, JobState, Outcome, Step, Submission};
 use crate::place::Claims;
 use crate::record::{self, Record, new_job};
 use crate::room::Room;
 use crate::unit::{Unit, UnitKey, Where};
-use crate::value::{MeanWork, Successes, work_core_s};
+use crate::value::{MeanWork, PreemptionOutcomes, estimated_work_core_s};
 use crate::view::Refusals;
 use crate::worker::Worker;
 
@@ -68,7 +68,7 @@
     pub(crate) approvals: Approvals,
     pub(crate) mean_work: BTreeMap<String, MeanWork>,
     /// By queue.
-    pub(crate) successes: BTreeMap<String, Successes>,
+    pub(crate) successes: BTreeMap<String, PreemptionOutcomes>,
     pub(crate) agents: BTreeMap<String, Agent>,
     pub(crate) past_agents: BTreeSet<u64>,
     pub(crate) past_workers: BTreeSet<String>,
@@ -216,14 +216,14 @@
         if let Some(job) = self.jobs.get(&sub.job) {
             return Verdict::Accepted { change: job.accepted_in };
         }
-        if let Err(refusal) = admit::admit(self, now, sub) {
-            self.remember_refusal(wall, sub, &refusal.why, refusal.retry_after_ms);
-            return Verdict::Refused { why: refusal.why, retry_after_ms: refusal.retry_after_ms };
+        if let Err(refusal) = admit::check_admission(self, now, sub) {
+            self.record_refusal(wall, sub, &refusal.reason, refusal.retry_after_ms);
+            return Verdict::Refused { why: refusal.reason, retry_after_ms: refusal.retry_after_ms };
         }
         if self.desired.queue(&sub.queue).is_some_and(|queue| queue.priority == 0) {
             self.urgent_at = Some(now);
         }
-        self.mean_work.entry(sub.queue.clone()).or_default().note(work_core_s(sub));
+        self.mean_work.entry(sub.queue.clone()).or_default().record(estimated_work_core_s(sub));
         let mut job = new_job(sub.clone(), wall);
         job.accepted_in = self.change;
         self.jobs.insert(sub.job.clone(), job);
@@ -294,7 +294,7 @@
         }
         self.note(format!("event=job_ended job={name} outcome={outcome:?} age_ms={age}"));
         self.touch(name);
-        self.approvals.forget(name);
+        self.approvals.remove_job(name);
         self.learn_from(name);
         self.retire(name);
     }
@@ -304,7 +304,7 @@
         let Some(job) = self.jobs.get(name).filter(|job| job.room_made) else { return };
         if let Some(in_time) = self.ended_in_time(job) {
             let queue = job.sub.queue.clone();
-            self.successes.entry(queue).or_default().note(in_time);
+            self.successes.entry(queue).or_default().record(in_time);
         }
     }
 
@@ -323,7 +323,7 @@
         self.open_due(now, wall);
         self.drop_old(wall);
         self.set_paces(now);
-        self.place_all(now, wall);
+        self.place_waiting_units(now, wall);
     }
 
     fn expire(&mut self, now: u64, wall: u64) {
--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -1,120 +1,122 @@
-//! Preemption: which runs give way to an urgent unit, so that the least work is thrown away.
+//! Preemption: selects the runs to stop for an urgent unit, at the lowest cost.
 //!
-//! Answers a burst of urgent gangs while others fill the fleet: room has to be there within the bound of a
-//! guarantee, and every stop throws away what was not saved.
+//! Designed for bursts of urgent gangs on a full fleet: resources have to be free within the bound of a guarantee, and
+//! every stop loses the work since the last checkpoint.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::job::Step;
-use crate::place::{Candidate, fill};
+use crate::place::{Candidate, assign_members};
 use crate::planner::Planner;
 use crate::room::Room;
 use crate::unit::{UnitKey, Where};
-use crate::value::{Prospect, earnable};
+use crate::value::{Timeliness, attainable_value};
 use crate::worker::Worker;
 
-/// Part of a run in percent after which it is left to end: stopping it frees the room hardly earlier.
+/// Progress from which a run is not stopped: that would free its resources hardly earlier than its end.
 const NEARLY_DONE_PERCENT: u64 = 85;
 
-/// Time before the latest start at which room is made, in milliseconds; before that it may come free by itself.
-const DECIDE_BEFORE_MS: u64 = 500;
+/// Runs are preempted from this time plus the duration of a stop before the latest start; earlier, resources may
+/// still become free by themselves.
+const PREEMPTION_LEAD_MS: u64 = 500;
 
-/// A placed unit that may give way.
+/// A placed unit that may be preempted.
 struct Victim {
     job: String,
     key: UnitKey,
-    /// What ending its run costs, in worth.
-    lost: f64,
-    /// Room that it takes on each worker.
-    on: BTreeMap<String, Room>,
+    /// Cost of stopping its run, in the unit of a job's value.
+    stop_cost: f64,
+    /// Resources that it holds, by worker.
+    resources: BTreeMap<String, Room>,
 }
 
-/// Ends runs that are less urgent than a unit until it fits, and keeps the room for it. A job is in time only with
-/// all its subtasks, so room is made for all units of a step that wait, or for none; only a guarantee that is due
-/// takes what it can get.
-pub fn make_room(planner: &mut Planner, now: u64, wall: u64, candidate: &Candidate) {
-    let Some(gain) = gain(planner, wall, candidate) else { return };
+/// Stops less urgent runs until a unit fits, and claims the freed resources for it. A job ends in time only with all
+/// its subtasks, so either all waiting units of a step get resources or none does, except where the bound of a
+/// guarantee is near.
+pub fn preempt_for(planner: &mut Planner, now: u64, wall: u64, candidate: &Candidate) {
+    let Some(max_cost) = max_cost(planner, wall, candidate) else { return };
     let Some(job) = planner.jobs.get(&candidate.job) else { return };
     let Some(step) = job.sub.steps.get(candidate.key.step as usize).cloned() else { return };
-    let units = match step.gang || candidate.must_begin {
+    let units = match step.gang || candidate.must_start {
         true => vec![candidate.key],
-        false => waiting_beside(planner, candidate),
+        false => waiting_units_of_step(planner, candidate),
     };
     let members = if step.gang { step.count } else { units.len() as u32 };
-    let wanted = Step { count: members, ..step.clone() };
+    let required = Step { count: members, ..step.clone() };
     let victims = victims(planner, now, wall, candidate);
-    let offer = planner.offer(now, candidate, &step);
+    let available = planner.available_workers(now, candidate, &step);
     let mut groups: BTreeMap<&str, Vec<(&Worker, Room)>> = BTreeMap::new();
-    for (worker, room) in offer.left.values() {
+    for (worker, free) in available.by_id.values() {
         let group = if step.one_rack { worker.rack() } else { "" };
-        groups.entry(group).or_default().push((worker, *room));
+        groups.entry(group).or_default().push((worker, *free));
     }
-    let plans = groups.values().filter_map(|workers| choose(workers, &victims, &wanted));
+    let plans = groups.values().filter_map(|workers| choose_victims(workers, &victims, &required));
     let mut best = plans.min_by(|one, other| one.0.total_cmp(&other.0));
-    if best.is_none() && candidate.must_begin {
-        // No rack can be vacated for it: better slow over several racks than not within the bound.
-        let all: Vec<(&Worker, Room)> = offer.left.values().copied().collect();
-        best = choose(&all, &victims, &wanted);
+    if best.is_none() && candidate.must_start {
+        // No rack can be freed for it. Running slower over several racks is better than missing the bound.
+        let all: Vec<(&Worker, Room)> = available.by_id.values().copied().collect();
+        best = choose_victims(&all, &victims, &required);
     }
-    let Some((cost, chosen, lives)) = best else { return };
-    if cost > gain {
+    let Some((cost, chosen, incarnations)) = best else { return };
+    if cost > max_cost {
         return;
     }
-    let ends: Vec<(String, UnitKey)> =
-        chosen.iter().map(|at| (victims[*at].job.clone(), victims[*at].key)).collect();
+    let stopped_units: Vec<(String, UnitKey)> =
+        chosen.iter().map(|index| (victims[*index].job.clone(), victims[*index].key)).collect();
     if step.gang {
-        planner.claims.insert(candidate, candidate.key, lives, step.counted(), now);
+        planner.claims.insert(candidate, candidate.key, incarnations, step.counted(), now);
     } else {
-        for (key, life) in units.into_iter().zip(lives) {
-            planner.claims.insert(candidate, key, vec![life], step.counted(), now);
+        for (key, incarnation) in units.into_iter().zip(incarnations) {
+            planner.claims.insert(candidate, key, vec![incarnation], step.counted(), now);
         }
     }
-    if let Some(job) = planner.jobs.get_mut(&candidate.job).filter(|_| !ends.is_empty()) {
+    if let Some(job) = planner.jobs.get_mut(&candidate.job).filter(|_| !stopped_units.is_empty()) {
         job.room_made = true;
     }
-    let why = format!("room for {}", candidate.job);
-    for (name, key) in ends {
-        planner.vacate(now, &name, key, &why);
+    let reason = format!("resources needed for {}", candidate.job);
+    for (name, key) in stopped_units {
+        planner.vacate(now, &name, key, &reason);
     }
 }
 
-/// Returns the units of a candidate's step that wait and have no claim, itself among them.
-fn waiting_beside(planner: &Planner, candidate: &Candidate) -> Vec<UnitKey> {
+/// Returns the waiting units of a candidate's step that have no claim, including its own.
+fn waiting_units_of_step(planner: &Planner, candidate: &Candidate) -> Vec<UnitKey> {
     let Some(job) = planner.jobs.get(&candidate.job) else { return Vec::new() };
-    let same = |key: &UnitKey| {
+    let is_unclaimed = |key: &UnitKey| {
         (key.occurrence, key.step) == (candidate.key.occurrence, candidate.key.step)
-            && !planner.claims.has(&candidate.job, *key)
+            && !planner.claims.contains(&candidate.job, *key)
     };
-    let waiting = job.units.iter().filter(|(key, unit)| unit.at == Where::Waiting && same(key));
+    let waiting = job.units.iter().filter(|(key, unit)| unit.at == Where::Waiting && is_unclaimed(key));
     waiting.map(|(key, _)| *key).collect()
 }
 
-/// Returns the most that room for a unit may cost now, in worth; `None` while it can wait.
-fn gain(planner: &Planner, wall: u64, candidate: &Candidate) -> Option<f64> {
-    if candidate.must_begin {
-        // A guarantee holds whatever it costs; until its bound is near, only what waiting would lose counts.
+/// Returns the maximum cost of preempting for a unit now, in the unit of a job's value; `None` while it can wait.
+fn max_cost(planner: &Planner, wall: u64, candidate: &Candidate) -> Option<f64> {
+    if candidate.must_start {
+        // A guarantee that is due is met at any cost; before that, only the value that waiting would lose counts.
         return Some(f64::INFINITY);
     }
-    let near = wall + planner.timing.stop_ms + DECIDE_BEFORE_MS >= candidate.start_by;
-    let now_worth = earnable(candidate.worth, candidate.prospect);
-    let later = match candidate.prospect {
-        Prospect::InTime => earnable(candidate.worth, Prospect::Late),
-        Prospect::Late | Prospect::Worthless => 0.0,
+    let is_due = wall + planner.timing.stop_ms + PREEMPTION_LEAD_MS >= candidate.latest_start;
+    let current_value = attainable_value(candidate.value, candidate.timeliness);
+    let later_value = match candidate.timeliness {
+        Timeliness::InTime => attainable_value(candidate.value, Timeliness::Late),
+        Timeliness::Late | Timeliness::Missed => 0.0,
     };
     let queue = planner.jobs.get(&candidate.job).map(|job| &job.sub.queue);
-    let success = queue.and_then(|queue| planner.successes.get(queue)).copied().unwrap_or_default();
-    (near && now_worth > later).then_some((now_worth - later) * success.share())
+    let outcomes = queue.and_then(|queue| planner.successes.get(queue)).copied().unwrap_or_default();
+    (is_due && current_value > later_value)
+        .then_some((current_value - later_value) * outcomes.expected_in_time_share())
 }
 
 fn victims(planner: &Planner, now: u64, wall: u64, candidate: &Candidate) -> Vec<Victim> {
     let mut victims = Vec::new();
-    let covered = if candidate.guaranteed { planner.covered_by_guarantees() } else { BTreeSet::new() };
+    let covered = if candidate.guaranteed { planner.jobs_within_guarantees() } else { BTreeSet::new() };
     for name in &planner.live {
         let Some(job) = planner.jobs.get(name) else { continue };
         let priority = planner.desired.queue(&job.sub.queue).map_or(u32::MAX, |queue| queue.priority);
-        // As urgent work gives way only where it lies on what a guarantee needs and has none of its own.
-        let beyond = candidate.guaranteed && !covered.contains(name.as_str());
-        if priority <= candidate.priority && !beyond {
+        // Work of the same priority is preempted only for a guaranteed unit, and only if no guarantee covers it.
+        let outside_guarantees = candidate.guaranteed && !covered.contains(name.as_str());
+        if priority <= candidate.priority && !outside_guarantees {
             continue;
         }
         for (key, unit) in &job.units {
@@ -123,76 +125,77 @@
                 continue;
             }
             if step.may_miss.is_some() {
-                // The caller allows only so many to be away; they are left alone.
+                // The step limits how many of its subtasks may be down, so none is preempted.
                 continue;
             }
             let percent = unit.members.iter().map(|member| member.percent).max().unwrap_or(0);
             if unit.at == Where::Placed
                 && percent >= NEARLY_DONE_PERCENT
                 && !step.lasting
-                && !candidate.must_begin
+                && !candidate.must_start
             {
                 continue;
             }
-            let mut on: BTreeMap<String, Room> = BTreeMap::new();
+            let mut resources: BTreeMap<String, Room> = BTreeMap::new();
             for member in unit.members.iter().filter(|member| !member.gone) {
-                *on.entry(member.worker.clone()).or_default() += step.counted();
+                *resources.entry(member.worker.clone()).or_default() += step.counted();
             }
-            let lost = planner.cost_of_stop(now, wall, job, *key, unit);
-            victims.push(Victim { job: name.clone(), key: *key, lost, on });
+            let stop_cost = planner.stop_cost(now, wall, job, *key, unit);
+            victims.push(Victim { job: name.clone(), key: *key, stop_cost, resources });
         }
     }
     victims
 }
 
-/// Returns the cheapest found set of victims in a group of workers, its cost, and the workers of the members.
-fn choose(
+/// Returns the cheapest set of victims found in a group of workers, as its cost, the victims' indices, and a worker
+/// for each member. The search is greedy and may miss the optimum.
+fn choose_victims(
     workers: &[(&Worker, Room)],
     victims: &[Victim],
     step: &Step,
 ) -> Option<(f64, Vec<usize>, Vec<String>)> {
-    let names: BTreeSet<&str> = workers.iter().map(|(worker, _)| worker.info.life.as_str()).collect();
+    let group: BTreeSet<&str> = workers.iter().map(|(worker, _)| worker.info.life.as_str()).collect();
     let mut order: Vec<usize> = (0..victims.len())
-        .filter(|at| victims[*at].on.keys().any(|life| names.contains(life.as_str())))
+        .filter(|index| victims[*index].resources.keys().any(|id| group.contains(id.as_str())))
         .collect();
-    // Loss for each core freed here; a gang that lies elsewhere too costs all of its work.
-    let per_core = |at: &usize| {
-        let victim = &victims[*at];
-        let here = victim.on.iter().filter(|(life, _)| names.contains(life.as_str()));
-        let freed: i64 = here.map(|(_, room)| room.weight()).sum();
-        victim.lost / freed.max(1) as f64
+    // Cost per core freed in this group. A gang that also runs elsewhere counts with its whole cost.
+    let per_core = |index: &usize| {
+        let victim = &victims[*index];
+        let here = victim.resources.iter().filter(|(incarnation, _)| group.contains(incarnation.as_str()));
+        let freed: i64 = here.map(|(_, resources)| resources.weight()).sum();
+        victim.stop_cost / freed.max(1) as f64
     };
     order.sort_by(|one, other| per_core(one).total_cmp(&per_core(other)));
-    let free_with = |chosen: &[usize]| -> Vec<(&Worker, Room)> {
+    let free_without = |chosen: &[usize]| -> Vec<(&Worker, Room)> {
         let mut free = workers.to_vec();
-        for (worker, room) in &mut free {
-            for at in chosen {
-                if let Some(more) = victims[*at].on.get(&worker.info.life) {
-                    *room += *more;
+        for (worker, free) in &mut free {
+            for index in chosen {
+                if let Some(more) = victims[*index].resources.get(&worker.info.life) {
+                    *free += *more;
                 }
             }
         }
         free
     };
     let mut chosen = Vec::new();
-    let mut fits = fill(&free_with(&chosen), step);
-    for at in order {
-        if fits.is_some() {
+    let mut assigned = assign_members(&free_without(&chosen), step);
+    for index in order {
+        if assigned.is_some() {
             break;
         }
-        chosen.push(at);
-        fits = fill(&free_with(&chosen), step);
+        chosen.push(index);
+        assigned = assign_members(&free_without(&chosen), step);
     }
-    let mut lives = fits?;
-    // The dearest that turned out not to be needed stay.
+    let mut incarnations = assigned?;
+    // Keeps the runs that turn out not to be needed, the most expensive first.
     let mut by_cost = chosen.clone();
-    by_cost.sort_by(|one, other| victims[*other].lost.total_cmp(&victims[*one].lost));
-    for at in by_cost {
-        let fewer: Vec<usize> = chosen.iter().copied().filter(|other| *other != at).collect();
-        if let Some(found) = fill(&free_with(&fewer), step) {
-            (chosen, lives) = (fewer, found);
+    by_cost.sort_by(|one, other| victims[*other].stop_cost.total_cmp(&victims[*one].stop_cost));
+    for index in by_cost {
+        let fewer: Vec<usize> = chosen.iter().copied().filter(|other| *other != index).collect();
+        if let Some(found) = assign_members(&free_without(&fewer), step) {
+            (chosen, incarnations) = (fewer, found);
         }
     }
-    let cost = chosen.iter().map(|at| victims[*at].lost).sum();
-    Some((cost, chosen, lives))
+    let cost = chosen.iter().map(|index| victims[*index].stop_cost).sum();
+    Some((cost, chosen, incarnations))
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,47 +1,48 @@
-//! What operators are shown: jobs, workers, accounts, refusals and service levels, and why a job is where it is.
+//! Views for operators: jobs, workers, accounts, refusals, service levels, and the explanation of a job's state.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::admit::chain_ms;
+use crate::admit::critical_path_ms;
 use crate::job::{Job, JobState, Outcome};
-use crate::place::{Candidate, accelerators_at_once, usable};
+use crate::place::{Candidate, accepts_step, peak_accelerators};
 use crate::planner::{HEARD_WITHIN_MS, Planner};
 use crate::unit::{Unit, UnitKey, Where};
 use crate::worker::Worker;
 
-/// Rows of one answer at most, so that it stays far below the limit of a message.
-const MOST_ROWS: usize = 500;
+/// Maximum rows of a reply, which keeps it far below the size limit of a message.
+const MAX_ROWS: usize = 500;
 
-/// Refusals that are remembered, newest last.
-const MOST_REFUSALS: usize = 500;
+const MAX_REFUSALS: usize = 500;
 
-/// Units of a job that are explained one by one.
-const MOST_EXPLAINED: usize = 20;
+/// Maximum units in the explanation of a job.
+const MAX_EXPLAINED_UNITS: usize = 20;
 
-/// Length of one point of the service levels over time, in milliseconds.
-const POINT_MS: u64 = 10_000;
+/// Interval of one point in the time series of service levels.
+const POINT_INTERVAL_MS: u64 = 10_000;
 
-/// Share of jobs that should end in time, in thousandths; the users ask for 90%.
-pub const OBJECTIVE_MILLI: u64 = 900;
+/// Share of jobs that should end in time, in thousandths; the users require 90%.
+pub const IN_TIME_OBJECTIVE_MILLI: u64 = 900;
 
-/// What an operator asks for.
+/// View that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Query {
-    /// Jobs that have not ended, or of which something still takes room.
+    /// Jobs that have not ended, or whose runs still hold resources.
     Jobs,
-    /// Workers that are known.
+    /// Known workers.
     Workers,
-    /// Client accounts with their guarantees and what they use.
+    /// Client accounts with their guarantees and their usage.
     Accounts,
-    /// Newest refusals.
+    /// Newest refusals, latest first.
     Refused,
-    /// Service levels of the jobs that ended lately, by account and queue.
-    Burn,
-    /// Why a job is where it is.
-    Why(String),
+    /// Service levels of the jobs that ended recently, by account and queue.
+    #[serde(rename = "Burn")]
+    ServiceLevels,
+    /// Explanation of a job's state.
+    #[serde(rename = "Why")]
+    Explain(String),
 }
 
 /// A submission that was refused.
@@ -50,43 +51,43 @@
     job: String,
     queue: String,
     account: String,
-    why: String,
+    reason: String,
     retry_after_ms: u64,
-    /// When, in milliseconds since 1970.
-    at_ms: u64,
+    /// Milliseconds since 1970.
+    refused_at_ms: u64,
 }
 
 impl Planner {
-    /// Remembers a refusal for operators; the oldest is forgotten.
-    pub(crate) fn remember_refusal(
+    /// Records a refusal for operators, and drops the oldest beyond `MAX_REFUSALS`.
+    pub(crate) fn record_refusal(
         &mut self,
         wall: u64,
         sub: &crate::Submission,
-        why: &str,
+        reason: &str,
         retry_after_ms: u64,
     ) {
-        if self.refusals.len() >= MOST_REFUSALS {
+        if self.refusals.len() >= MAX_REFUSALS {
             self.refusals.pop_front();
         }
         self.refusals.push_back(RefusedJob {
             job: sub.job.clone(),
             queue: sub.queue.clone(),
             account: sub.account.clone(),
-            why: why.to_owned(),
+            reason: reason.to_owned(),
             retry_after_ms,
-            at_ms: wall,
+            refused_at_ms: wall,
         });
     }
 
-    /// Returns what an operator asks for: an object with `columns` and `rows`, or with the fields of one job.
+    /// Returns a view as JSON: a table with `columns` and `rows`, or the fields of one job.
     pub fn view(&self, query: &Query, now: u64, wall: u64) -> Value {
         match query {
             Query::Jobs => self.view_jobs(wall),
             Query::Workers => self.view_workers(now),
             Query::Accounts => self.view_accounts(),
             Query::Refused => self.view_refused(wall),
-            Query::Burn => self.view_burn(wall),
-            Query::Why(job) => self.view_why(job, now, wall),
+            Query::ServiceLevels => self.view_service_levels(wall),
+            Query::Explain(job) => self.explain_job(job, now, wall),
         }
     }
 
@@ -97,7 +98,7 @@
                 "job": job.sub.job,
                 "queue": job.sub.queue,
                 "account": job.sub.account,
-                "state": state(job),
+                "state": state_name(job),
                 "age_ms": wall.saturating_sub(job.accepted_ms),
                 "target_ms": self.target_ms(job),
                 "waiting": units(Where::Waiting),
@@ -131,7 +132,7 @@
                 "agent": worker.agent,
                 "service": worker.info.service,
                 "rack": worker.rack(),
-                "standing": standing(worker, now),
+                "standing": availability(worker, now),
                 "accelerators": format!("{}/{}", worker.used.accelerators, worker.info.capacity.accelerators),
                 "cores": format!("{}/{}", worker.used.millicores / 1_000, worker.info.capacity.millicores / 1_000),
                 "runs": worker.placed.len(),
@@ -159,11 +160,12 @@
             let (mut urgent, mut used, mut waiting, mut running) = (0, 0, 0, 0);
             for job in jobs.filter(|job| job.outcome.is_none()) {
                 let is_urgent = self.desired.queue(&job.sub.queue).is_some_and(|queue| queue.priority == 0);
-                urgent += if is_urgent { accelerators_at_once(&job.sub) } else { 0 };
+                urgent += if is_urgent { peak_accelerators(&job.sub) } else { 0 };
                 (waiting, running) = if job.begun { (waiting, running + 1) } else { (waiting + 1, running) };
                 for (key, unit) in &job.units {
-                    let each = job.sub.steps.get(key.step as usize).map_or(0, |step| step.room.accelerators);
-                    used += each * unit.members.iter().filter(|member| !member.gone).count() as i64;
+                    let per_member =
+                        job.sub.steps.get(key.step as usize).map_or(0, |step| step.room.accelerators);
+                    used += per_member * unit.members.iter().filter(|member| !member.gone).count() as i64;
                 }
             }
             json!({
@@ -182,29 +184,29 @@
     fn view_refused(&self, wall: u64) -> Value {
         let row = |refused: &RefusedJob| {
             json!({
-                "ms_ago": wall.saturating_sub(refused.at_ms),
+                "ms_ago": wall.saturating_sub(refused.refused_at_ms),
                 "job": refused.job,
                 "queue": refused.queue,
                 "account": refused.account,
                 "retry_after_ms": refused.retry_after_ms,
-                "why": refused.why,
+                "why": refused.reason,
             })
         };
         let columns = ["ms_ago", "job", "queue", "account", "retry_after_ms", "why"];
         table(&columns, self.refusals.iter().rev().map(row))
     }
 
-    fn view_burn(&self, wall: u64) -> Value {
-        let mut levels: BTreeMap<(&str, &str), Level> = BTreeMap::new();
-        let mut points: BTreeMap<u64, Level> = BTreeMap::new();
+    fn view_service_levels(&self, wall: u64) -> Value {
+        let mut levels: BTreeMap<(&str, &str), ServiceLevel> = BTreeMap::new();
+        let mut points: BTreeMap<u64, ServiceLevel> = BTreeMap::new();
         for job in self.jobs.values() {
             let Some(in_time) = self.ended_in_time(job) else { continue };
             let failed = job.outcome == Some(Outcome::Failed);
             for level in [
                 levels.entry((&job.sub.account, &job.sub.queue)).or_default(),
-                points.entry(job.ended_ms / POINT_MS * POINT_MS).or_default(),
+                points.entry(job.ended_ms / POINT_INTERVAL_MS * POINT_INTERVAL_MS).or_default(),
             ] {
-                level.note(in_time, failed);
+                level.record(in_time, failed);
             }
         }
         for refused in &self.refusals {
@@ -219,72 +221,76 @@
                 "late": level.ended - level.in_time - level.failed,
                 "failed": level.failed,
                 "refused": level.refused,
-                "burn": level.burn(),
+                "burn": level.burn_rate(),
             })
         });
         let columns = ["account", "queue", "ended", "in_time", "late", "failed", "refused", "burn"];
         let mut body = table(&columns, rows);
-        let point = |(at, level): (&u64, &Level)| json!({"ms_ago": wall.saturating_sub(*at), "ended": level.ended, "burn": level.burn()});
+        let point = |(at, level): (&u64, &ServiceLevel)| json!({"ms_ago": wall.saturating_sub(*at), "ended": level.ended, "burn": level.burn_rate()});
         body["points"] = points.iter().map(point).collect();
-        body["objective"] = json!(OBJECTIVE_MILLI as f64 / 1_000.0);
+        body["objective"] = json!(IN_TIME_OBJECTIVE_MILLI as f64 / 1_000.0);
         body
     }
 
-    /// Returns whether an ended job ended within its target; `None` for one that is not judged.
+    /// Returns whether an ended job completed within its target; `None` for a job that has not ended or was cancelled,
+    /// and for scheduled and lasting jobs, which the objective does not cover.
     pub(crate) fn ended_in_time(&self, job: &Job) -> Option<bool> {
         let outcome = job.outcome.filter(|outcome| *outcome != Outcome::Cancelled)?;
         if job.sub.schedule.is_some() || job.lasts() {
             return None;
         }
-        let took = job.ended_ms.saturating_sub(job.accepted_ms);
-        Some(outcome == Outcome::Completed && self.target_ms(job).is_none_or(|target| took <= target))
+        let duration_ms = job.ended_ms.saturating_sub(job.accepted_ms);
+        Some(
+            outcome == Outcome::Completed
+                && self.target_ms(job).is_none_or(|target_ms| duration_ms <= target_ms),
+        )
     }
 
     fn target_ms(&self, job: &Job) -> Option<u64> {
         let queue = self.desired.queue(&job.sub.queue)?;
-        Some(chain_ms(&job.sub) * queue.stretch_milli / 1_000 + queue.full_value_ms)
+        Some(critical_path_ms(&job.sub) * queue.stretch_milli / 1_000 + queue.full_value_ms)
     }
 
-    fn view_why(&self, name: &str, now: u64, wall: u64) -> Value {
+    fn explain_job(&self, name: &str, now: u64, wall: u64) -> Value {
         let refused = |refused: &&RefusedJob| refused.job == name;
         let Some(job) = self.jobs.get(name) else {
             return match self.refusals.iter().rev().find(refused) {
                 Some(refused) => json!({
                     "job": name,
                     "state": "refused",
-                    "ms_ago": wall.saturating_sub(refused.at_ms),
-                    "why": refused.why,
+                    "ms_ago": wall.saturating_sub(refused.refused_at_ms),
+                    "why": refused.reason,
                     "retry_after_ms": refused.retry_after_ms,
                 }),
                 None => {
-                    json!({"job": name, "state": "unknown", "why": "no such job, nor a refusal that is remembered"})
+                    json!({"job": name, "state": "unknown", "why": "no such job, and no recent refusal of it"})
                 }
             };
         };
-        let order = self.candidates(now, wall);
-        let open = job.units.iter().filter(|(_, unit)| unit.at != Where::Done);
-        let units = open.take(MOST_EXPLAINED).map(|(key, unit)| {
-            let ahead = order.iter().position(|c| c.job == name && c.key == *key);
-            let candidate = ahead.and_then(|at| order.get(at));
+        let waiting_units = self.candidates(now, wall);
+        let not_done = job.units.iter().filter(|(_, unit)| unit.at != Where::Done);
+        let units = not_done.take(MAX_EXPLAINED_UNITS).map(|(key, unit)| {
+            let ahead = waiting_units.iter().position(|c| c.job == name && c.key == *key);
+            let candidate = ahead.and_then(|at| waiting_units.get(at));
             json!({
                 "subtask": key.task(name, 0).to_string(),
                 "run": unit.run,
                 "fails": unit.fails,
                 "ahead": ahead,
-                "why": self.why_unit(now, wall, job, (*key, unit), candidate),
+                "why": self.explain_unit(now, wall, job, (*key, unit), candidate),
             })
         });
         let columns = ["subtask", "run", "fails", "ahead", "why"];
         let mut body = table(&columns, units);
         body["job"] = json!(name);
-        body["state"] = json!(state(job));
+        body["state"] = json!(state_name(job));
         body["age_ms"] = json!(wall.saturating_sub(job.accepted_ms));
         body["target_ms"] = json!(self.target_ms(job));
         body
     }
 
-    /// Returns in words why a unit is where it is.
-    fn why_unit(
+    /// Returns an explanation of a unit's state, as text for operators.
+    fn explain_unit(
         &self,
         now: u64,
         wall: u64,
@@ -293,14 +299,14 @@
         candidate: Option<&Candidate>,
     ) -> String {
         let workers = || {
-            let left = unit.members.iter().filter(|member| !member.gone);
-            left.map(|member| member.worker.as_str()).collect::<Vec<_>>().join(",")
+            let current = unit.members.iter().filter(|member| !member.gone);
+            current.map(|member| member.worker.as_str()).collect::<Vec<_>>().join(",")
         };
-        let for_ms = now.saturating_sub(unit.since);
+        let age_ms = now.saturating_sub(unit.since);
         match unit.at {
             Where::Done => return "done".to_owned(),
-            Where::Placed => return format!("placed {for_ms} ms ago on {}", workers()),
-            Where::Ending => return format!("its run is being ended on {} since {for_ms} ms", workers()),
+            Where::Placed => return format!("placed {age_ms} ms ago on {}", workers()),
+            Where::Ending => return format!("its run on {} has been stopping for {age_ms} ms", workers()),
             Where::Waiting => (),
         }
         if job.outcome.is_some() {
@@ -312,73 +318,75 @@
         let (Some(step), Some(candidate)) = (job.sub.steps.get(key.step as usize), candidate) else {
             return match self.desired.queue(&job.sub.queue) {
                 None => "its queue is not in the desired state".to_owned(),
-                Some(_) => "a step before it is not done".to_owned(),
+                Some(_) => "a step that it depends on is not done".to_owned(),
             };
         };
-        let latest = candidate.start_by.saturating_sub(wall);
-        let mut out: BTreeMap<&str, usize> = BTreeMap::new();
+        let until_latest_start_ms = candidate.latest_start.saturating_sub(wall);
+        let mut workers_by_reason: BTreeMap<&str, usize> = BTreeMap::new();
         let service = self.queue_of(&job.sub.job).map(|queue| queue.service.as_str());
         for worker in self.workers.values().filter(|worker| Some(worker.info.service.as_str()) == service) {
-            let standing = standing(worker, now);
-            let reason = match standing {
-                "usable" if !usable(worker, step, now) => "without its label",
+            let availability = availability(worker, now);
+            let category = match availability {
+                "usable" if !accepts_step(worker, step, now) => "without its label",
                 "usable" if !worker.free().holds(&step.counted()) => "without room",
                 "usable" => "with room",
                 other => other,
             };
-            *out.entry(reason).or_default() += 1;
+            *workers_by_reason.entry(category).or_default() += 1;
         }
-        let counts: Vec<String> = out.iter().map(|(reason, count)| format!("{count} {reason}")).collect();
-        let reserve = if self.leaves_no_reserve(now, wall, candidate, step) {
-            "; what is free is kept for urgent jobs"
+        let counts: Vec<String> =
+            workers_by_reason.iter().map(|(category, count)| format!("{count} {category}")).collect();
+        let reserve = if self.would_use_reserve(now, wall, candidate, step) {
+            "; the free accelerators are reserved for urgent jobs"
         } else {
             ""
         };
-        let claim = if self.claims.has(&job.sub.job, key) { "; room is being vacated for it" } else { "" };
+        let claim =
+            if self.claims.contains(&job.sub.job, key) { "; resources are being freed for it" } else { "" };
         format!(
-            "waits for {for_ms} ms, workers: {}; {latest} ms to its latest start{reserve}{claim}",
+            "waiting for {age_ms} ms, workers: {}; {until_latest_start_ms} ms until its latest start{reserve}{claim}",
             counts.join(", ")
         )
     }
 }
 
-/// Counts of ended jobs.
+/// Counts of ended and refused jobs.
 #[derive(Default)]
-struct Level {
+struct ServiceLevel {
     ended: u64,
     in_time: u64,
     failed: u64,
     refused: u64,
 }
 
-impl Level {
-    fn note(&mut self, in_time: bool, failed: bool) {
+impl ServiceLevel {
+    fn record(&mut self, in_time: bool, failed: bool) {
         self.ended += 1;
         self.in_time += u64::from(in_time);
         self.failed += u64::from(failed);
     }
 
-    /// Returns how many times faster than allowed the objective's budget is used up: 1 uses it up exactly.
-    fn burn(&self) -> f64 {
+    /// Returns the burn rate of the objective's error budget: at 1 the budget is just used up.
+    fn burn_rate(&self) -> f64 {
         if self.ended == 0 {
             return 0.0;
         }
         let missed = (self.ended - self.in_time) as f64 / self.ended as f64;
-        let burn = missed / (1.0 - OBJECTIVE_MILLI as f64 / 1_000.0);
-        (burn * 100.0).round() / 100.0
+        let burn_rate = missed / (1.0 - IN_TIME_OBJECTIVE_MILLI as f64 / 1_000.0);
+        (burn_rate * 100.0).round() / 100.0
     }
 }
 
-/// Refusals that are remembered, newest last.
+/// Recorded refusals, newest last.
 pub(crate) type Refusals = VecDeque<RefusedJob>;
 
-fn state(job: &Job) -> &'static str {
-    let told = match job.outcome {
+fn state_name(job: &Job) -> &'static str {
+    let job_state = match job.outcome {
         Some(outcome) => JobState::Ended(outcome),
         None if job.begun => JobState::Running,
         None => JobState::Queued,
     };
-    match told {
+    match job_state {
         JobState::Queued => "queued",
         JobState::Running => "running",
         JobState::Ended(Outcome::Completed) => "completed",
@@ -387,7 +395,7 @@
     }
 }
 
-fn standing(worker: &Worker, now: u64) -> &'static str {
+fn availability(worker: &Worker, now: u64) -> &'static str {
     match worker {
         worker if worker.info.draining => "draining",
         worker if worker.heard_at + HEARD_WITHIN_MS < now => "not heard",
@@ -397,8 +405,8 @@
 }
 
 fn table(columns: &[&str], rows: impl Iterator<Item = Value>) -> Value {
-    let mut rows: Vec<Value> = rows.take(MOST_ROWS + 1).collect();
-    let more = rows.len() > MOST_ROWS;
-    rows.truncate(MOST_ROWS);
+    let mut rows: Vec<Value> = rows.take(MAX_ROWS + 1).collect();
+    let more = rows.len() > MAX_ROWS;
+    rows.truncate(MAX_ROWS);
     json!({"columns": columns, "rows": rows, "more": more})
 }
--- a/crates/fleet/src/wish.rs
+++ b/crates/fleet/src/wish.rs
@@ -34,7 +34,7 @@
                     run: *run,
                     spec: job.sub.spec.clone(),
                     saved: unit.saved.clone(),
-                    ticket: self.approvals.ticket(&Self::step_of(task), &life),
+                    ticket: self.approvals.newest_ticket(&Self::step_key_of(task), &life),
                 }),
                 Where::Ending | Where::Waiting => orders.stops.push(Stop { task: task.clone(), run: *run }),
                 Where::Done if now > unit.since + DONE_REST_MS => {
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -487,10 +487,10 @@
     let mut bench = Bench::new(3);
     bench.submit("a", "advised", vec![step(2, 1)]);
     assert!(starts(&bench.pass(10)).is_empty());
-    let (step, asked) = bench.planner.next_question(bench.now).unwrap();
+    let (step, asked) = bench.planner.next_approval_request(bench.now).unwrap();
     assert_eq!((step.0.as_str(), asked.len()), ("a", 3));
     let admitted = [("w2".to_owned(), "ticket-2".to_owned())];
-    bench.planner.note_approvals(bench.now, &step, &asked, &admitted, 3_000);
+    bench.planner.record_approvals(bench.now, &step, &asked, &admitted, 3_000);
     let orders = bench.pass(10);
     let found = starts(&orders);
     assert_eq!(found.len(), 2);
