--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner's decisions, without a network and in virtual time.
+//! Tests the planner's decisions in virtual time, without a network.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -41,15 +41,15 @@
     }
 }
 
-/// A planner with the reports of its agents.
-struct Bench {
+/// A planner, and the newest report of each agent.
+struct Fleet {
     planner: Planner,
     now: u64,
     seq: u64,
     reports: Vec<Report>,
 }
 
-impl Bench {
+impl Fleet {
     fn new(workers: usize) -> Self {
         let planner = Planner::new(TIMING, Arc::new(desired()), Vec::new(), 0);
         let report = |at: usize| Report {
@@ -64,13 +64,14 @@
             }),
             ..Report::default()
         };
-        let mut bench = Self { planner, now: 1_000, seq: 0, reports: (0..workers).map(report).collect() };
-        bench.pass(0);
-        bench
+        let mut fleet = Self { planner, now: 1_000, seq: 0, reports: (0..workers).map(report).collect() };
+        fleet.advance(0);
+        fleet
     }
 
-    /// Moves time on, lets every agent report and the planner decide, and stores what changed.
-    fn pass(&mut self, ms: u64) -> Vec<Orders> {
+    /// Advances the clock, passes on every agent's report, runs the planner, and stores its changes; returns the
+    /// assignments of every agent.
+    fn advance(&mut self, ms: u64) -> Vec<Orders> {
         self.now += ms;
         self.seq += 1;
         for report in &mut self.reports {
@@ -100,8 +101,8 @@
         self.planner.submit(self.now, self.now, &sub)
     }
 
-    /// Shows every start as running.
-    fn run(&mut self, orders: &[Orders]) {
+    /// Adds every start to the runs that its agent reports.
+    fn mark_running(&mut self, orders: &[Orders]) {
         for orders in orders {
             for Start { task, run, .. } in &orders.starts {
                 let report = self
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Ends every run of a job.
-    fn end(&mut self, job: &str, how: How) {
+    /// Reports the end of every run of a job.
+    fn end_runs(&mut self, job: &str, how: How) {
         for report in &mut self.reports {
             let (over, rest) = report.running.drain(..).partition(|run| run.task.job == job);
             report.running = rest;
@@ -136,204 +137,211 @@
 }
 
 #[test]
-fn submit_orders_starts_only_after_storing() {
-    let mut bench = Bench::new(1);
-    assert!(matches!(bench.submit("a", "plain", vec![step(1, 1)]), Verdict::Accepted { .. }));
-    bench.planner.tick(bench.now, bench.now);
-    assert_eq!(bench.planner.state("a"), None, "nothing is told before it is stored");
-    assert!(bench.planner.orders(bench.now, "agent-0").unwrap().starts.is_empty());
-    bench.store();
-    assert_eq!(bench.planner.state("a"), Some(JobState::Queued));
-    assert_eq!(bench.planner.orders(bench.now, "agent-0").unwrap().starts.len(), 1);
+fn submit_starts_nothing_before_job_is_stored() {
+    let mut fleet = Fleet::new(1);
+    assert!(matches!(fleet.submit("a", "plain", vec![step(1, 1)]), Verdict::Accepted { .. }));
+    fleet.planner.tick(fleet.now, fleet.now);
+    assert_eq!(fleet.planner.state("a"), None, "state is visible before it is stored");
+    assert!(fleet.planner.orders(fleet.now, "agent-0").unwrap().starts.is_empty());
+    fleet.store();
+    assert_eq!(fleet.planner.state("a"), Some(JobState::Queued));
+    assert_eq!(fleet.planner.orders(fleet.now, "agent-0").unwrap().starts.len(), 1);
 }
 
 #[test]
-fn place_gang_as_a_whole_or_not_at_all() {
-    let mut bench = Bench::new(3);
+fn place_gang_all_members_or_none() {
+    let mut fleet = Fleet::new(3);
     let gang = Step { gang: true, ..step(3, 8) };
-    bench.submit("blocker", "plain", vec![step(1, 4)]);
-    let orders = bench.pass(10);
-    bench.run(&orders);
-    bench.submit("gang", "plain", vec![gang]);
-    assert!(starts(&bench.pass(10)).is_empty());
-    bench.end("blocker", How::Done);
-    let orders = bench.pass(10);
-    let found = starts(&orders);
-    assert_eq!(found.len(), 3);
-    assert!(found.iter().all(|(_, start)| start.run == found[0].1.run), "members share their run");
+    fleet.submit("blocker", "plain", vec![step(1, 4)]);
+    let orders = fleet.advance(10);
+    fleet.mark_running(&orders);
+    fleet.submit("gang", "plain", vec![gang]);
+    assert!(starts(&fleet.advance(10)).is_empty());
+    fleet.end_runs("blocker", How::Done);
+    let orders = fleet.advance(10);
+    let placed = starts(&orders);
+    assert_eq!(placed.len(), 3);
+    assert!(
+        placed.iter().all(|(_, start)| start.run == placed[0].1.run),
+        "members have different run numbers"
+    );
 }
 
 #[test]
-fn place_counts_what_is_being_stopped() {
-    let mut bench = Bench::new(1);
-    bench.submit("a", "plain", vec![step(1, 8)]);
-    let orders = bench.pass(10);
-    bench.run(&orders);
-    bench.pass(10);
-    bench.planner.cancel(bench.now, bench.now, "a");
-    bench.submit("b", "plain", vec![step(1, 8)]);
-    let orders = bench.pass(10);
+fn place_waits_for_resources_of_stopping_run() {
+    let mut fleet = Fleet::new(1);
+    fleet.submit("a", "plain", vec![step(1, 8)]);
+    let orders = fleet.advance(10);
+    fleet.mark_running(&orders);
+    fleet.advance(10);
+    fleet.planner.cancel(fleet.now, fleet.now, "a");
+    fleet.submit("b", "plain", vec![step(1, 8)]);
+    let orders = fleet.advance(10);
     assert_eq!(orders[0].stops.len(), 1);
-    assert!(orders[0].starts.is_empty(), "the stop has not ended yet");
-    bench.end("a", How::Stopped);
-    assert_eq!(starts(&bench.pass(10)).len(), 1);
-    assert_eq!(bench.planner.state("a"), Some(JobState::Ended(Outcome::Cancelled)));
+    assert!(orders[0].starts.is_empty(), "started before the stop has ended");
+    fleet.end_runs("a", How::Stopped);
+    assert_eq!(starts(&fleet.advance(10)).len(), 1);
+    assert_eq!(fleet.planner.state("a"), Some(JobState::Ended(Outcome::Cancelled)));
 }
 
 #[test]
-fn note_end_gives_up_after_the_attempts() {
-    let mut bench = Bench::new(2);
-    bench.submit("a", "plain", vec![step(1, 1)]);
+fn report_fails_job_after_max_attempts() {
+    let mut fleet = Fleet::new(2);
+    fleet.submit("a", "plain", vec![step(1, 1)]);
     for run in 1..=2 {
-        let orders = bench.pass(10);
+        let orders = fleet.advance(10);
         assert_eq!(starts(&orders)[0].1.run, run);
-        bench.run(&orders);
-        bench.pass(10);
-        bench.end("a", How::Failed);
+        fleet.mark_running(&orders);
+        fleet.advance(10);
+        fleet.end_runs("a", How::Failed);
     }
-    assert!(starts(&bench.pass(10)).is_empty());
-    assert_eq!(bench.planner.state("a"), Some(JobState::Ended(Outcome::Failed)));
+    assert!(starts(&fleet.advance(10)).is_empty());
+    assert_eq!(fleet.planner.state("a"), Some(JobState::Ended(Outcome::Failed)));
 }
 
 #[test]
-fn report_of_an_older_life_is_ignored() {
-    let mut bench = Bench::new(1);
-    let old = bench.reports[0].clone();
-    bench.reports[0].worker.as_mut().unwrap().life = "w0-again".to_owned();
-    bench.reports[0].agent_life = 77;
-    bench.pass(10);
+fn report_ignores_older_incarnation() {
+    let mut fleet = Fleet::new(1);
+    let old = fleet.reports[0].clone();
+    fleet.reports[0].worker.as_mut().unwrap().life = "w0-again".to_owned();
+    fleet.reports[0].agent_life = 77;
+    fleet.advance(10);
     let late = Report { seq: 99, ..old };
-    bench.planner.report(bench.now, bench.now, &late);
-    assert_eq!(bench.planner.orders(bench.now, "agent-0").unwrap().life, "w0-again");
+    fleet.planner.report(fleet.now, fleet.now, &late);
+    assert_eq!(fleet.planner.orders(fleet.now, "agent-0").unwrap().life, "w0-again");
 }
 
 #[test]
-fn tick_restarts_elsewhere_only_after_the_lease() {
-    let mut bench = Bench::new(2);
-    bench.submit("a", "plain", vec![step(1, 1)]);
-    let orders = bench.pass(10);
-    let life = starts(&orders)[0].0.to_owned();
-    bench.run(&orders);
-    bench.pass(10);
-    let granted_at = bench.now;
-    let silent =
-        bench.reports.iter().position(|report| report.worker.as_ref().unwrap().life == life).unwrap();
-    bench.reports.remove(silent);
-    let least = TIMING.grant_ms + TIMING.grant_ms / 50 + TIMING.stop_ms;
+fn tick_restarts_elsewhere_only_after_lease_end() {
+    let mut fleet = Fleet::new(2);
+    fleet.submit("a", "plain", vec![step(1, 1)]);
+    let orders = fleet.advance(10);
+    let incarnation = starts(&orders)[0].0.to_owned();
+    fleet.mark_running(&orders);
+    fleet.advance(10);
+    let granted_at = fleet.now;
+    let unresponsive =
+        fleet.reports.iter().position(|report| report.worker.as_ref().unwrap().life == incarnation).unwrap();
+    fleet.reports.remove(unresponsive);
+    let lease_duration_ms = TIMING.grant_ms + TIMING.grant_ms / 50 + TIMING.stop_ms;
     loop {
-        let orders = bench.pass(100);
+        let orders = fleet.advance(100);
         if !starts(&orders).is_empty() {
             break;
         }
-        assert!(bench.now < granted_at + least + 500, "never started elsewhere");
+        assert!(fleet.now < granted_at + lease_duration_ms + 500, "not started elsewhere in time");
     }
-    assert!(bench.now > granted_at + least, "started {} ms after the last grant", bench.now - granted_at);
+    assert!(
+        fleet.now > granted_at + lease_duration_ms,
+        "started {} ms after the last grant",
+        fleet.now - granted_at
+    );
 }
 
 #[test]
-fn new_waits_for_workers_that_were_not_heard() {
-    let mut bench = Bench::new(2);
-    bench.submit("a", "plain", vec![step(1, 1)]);
-    bench.planner.tick(bench.now, bench.now);
-    let (records, change) = bench.planner.take_changes().unwrap();
-    bench.planner.note_stored(change);
+fn new_waits_for_workers_without_report() {
+    let mut fleet = Fleet::new(2);
+    fleet.submit("a", "plain", vec![step(1, 1)]);
+    fleet.planner.tick(fleet.now, fleet.now);
+    let (records, change) = fleet.planner.take_changes().unwrap();
+    fleet.planner.note_stored(change);
     let rows = records.iter().map(|record| (record.key.as_str(), record.value.as_slice()));
     let (jobs, _) = record::read(rows);
-    let on = jobs[0].units.values().next().unwrap().members[0].worker.clone();
-    bench.planner = Planner::new(TIMING, Arc::new(desired()), jobs, bench.now);
-    let taken_at = bench.now;
-    bench.reports.retain(|report| report.worker.as_ref().unwrap().life != on);
-    while starts(&bench.pass(100)).is_empty() {
-        assert!(bench.now < taken_at + TIMING.unheard_ms + 500, "never started elsewhere");
+    let placed_on = jobs[0].units.values().next().unwrap().members[0].worker.clone();
+    fleet.planner = Planner::new(TIMING, Arc::new(desired()), jobs, fleet.now);
+    let started_at = fleet.now;
+    fleet.reports.retain(|report| report.worker.as_ref().unwrap().life != placed_on);
+    while starts(&fleet.advance(100)).is_empty() {
+        assert!(fleet.now < started_at + TIMING.unheard_ms + 500, "not started elsewhere in time");
     }
-    assert!(bench.now > taken_at + TIMING.unheard_ms);
+    assert!(fleet.now > started_at + TIMING.unheard_ms);
 }
 
 #[test]
-fn new_starts_at_once_what_a_heard_worker_does_not_run() {
-    let mut bench = Bench::new(1);
-    bench.submit("a", "plain", vec![step(1, 1)]);
-    bench.planner.tick(bench.now, bench.now);
-    let (records, _) = bench.planner.take_changes().unwrap();
+fn new_restarts_stored_run_that_worker_does_not_report() {
+    let mut fleet = Fleet::new(1);
+    fleet.submit("a", "plain", vec![step(1, 1)]);
+    fleet.planner.tick(fleet.now, fleet.now);
+    let (records, _) = fleet.planner.take_changes().unwrap();
     let rows = records.iter().map(|record| (record.key.as_str(), record.value.as_slice()));
     let (jobs, _) = record::read(rows);
-    bench.planner = Planner::new(TIMING, Arc::new(desired()), jobs, bench.now);
-    let orders = bench.pass(10);
-    assert_eq!(starts(&orders)[0].1.run, 1, "the stored run is ordered again, not another one");
+    fleet.planner = Planner::new(TIMING, Arc::new(desired()), jobs, fleet.now);
+    let orders = fleet.advance(10);
+    assert_eq!(starts(&orders)[0].1.run, 1, "another run started in place of the stored one");
 }
 
 #[test]
-fn place_leaves_draining_workers_alone() {
-    let mut bench = Bench::new(2);
-    bench.reports[0].worker.as_mut().unwrap().draining = true;
-    bench.submit("a", "plain", vec![step(4, 1)]);
-    let orders = bench.pass(10);
-    assert!(starts(&orders).iter().all(|(life, _)| *life == "w1"));
+fn place_skips_draining_workers() {
+    let mut fleet = Fleet::new(2);
+    fleet.reports[0].worker.as_mut().unwrap().draining = true;
+    fleet.submit("a", "plain", vec![step(4, 1)]);
+    let orders = fleet.advance(10);
+    assert!(starts(&orders).iter().all(|(incarnation, _)| *incarnation == "w1"));
 }
 
 #[test]
-fn tick_takes_a_worker_that_fails_everything_out_of_use() {
-    let mut bench = Bench::new(2);
-    bench.reports[1].worker.as_mut().unwrap().draining = true;
+fn tick_ejects_worker_that_fails_every_run() {
+    let mut fleet = Fleet::new(2);
+    fleet.reports[1].worker.as_mut().unwrap().draining = true;
     // Two attempts of the first job, one of the second.
     for job in ["a", "a", "b"] {
-        bench.submit(job, "plain", vec![step(1, 1)]);
-        let orders = bench.pass(10);
+        fleet.submit(job, "plain", vec![step(1, 1)]);
+        let orders = fleet.advance(10);
         assert_eq!(starts(&orders).len(), 1);
-        bench.run(&orders);
-        bench.pass(10);
-        bench.end(job, How::Failed);
+        fleet.mark_running(&orders);
+        fleet.advance(10);
+        fleet.end_runs(job, How::Failed);
     }
-    bench.reports[1].worker.as_mut().unwrap().draining = false;
-    bench.pass(10);
-    bench.submit("d", "plain", vec![step(4, 1)]);
-    let orders = bench.pass(10);
-    assert!(starts(&orders).iter().all(|(life, _)| *life == "w1"), "{:?}", starts(&orders));
+    fleet.reports[1].worker.as_mut().unwrap().draining = false;
+    fleet.advance(10);
+    fleet.submit("d", "plain", vec![step(4, 1)]);
+    let orders = fleet.advance(10);
+    assert!(starts(&orders).iter().all(|(incarnation, _)| *incarnation == "w1"), "{:?}", starts(&orders));
 }
 
 #[test]
-fn make_room_for_a_guarantee_within_its_bound() {
-    let mut bench = Bench::new(2);
-    // Urgent work was seen, so some accelerators are kept free while other work can wait.
-    bench.submit("before", "urgent", vec![step(1, 1)]);
-    bench.planner.cancel(bench.now, bench.now, "before");
+fn preempt_for_guarantee_within_bound() {
+    let mut fleet = Fleet::new(2);
+    // A recent urgent job makes the planner keep a reserve.
+    fleet.submit("before", "urgent", vec![step(1, 1)]);
+    fleet.planner.cancel(fleet.now, fleet.now, "before");
     for job in ["l0", "l1"] {
-        bench.submit(job, "low", vec![Step { estimate_ms: 60_000, ..step(1, 8) }]);
+        fleet.submit(job, "low", vec![Step { estimate_ms: 60_000, ..step(1, 8) }]);
     }
-    // Low work may take all accelerators once it can't wait any longer.
+    // Low-priority work may use the reserve once its latest start is near.
     let mut running = 0;
     while running < 2 {
-        let orders = bench.pass(500);
+        let orders = fleet.advance(500);
         running += starts(&orders).len();
-        bench.run(&orders);
-        assert!(bench.now < 400_000, "low work never takes the rest");
+        fleet.mark_running(&orders);
+        assert!(fleet.now < 400_000, "low-priority jobs do not use the reserve");
     }
-    bench.submit("urgent", "urgent", vec![step(2, 4)]);
-    let submitted_at = bench.now;
+    fleet.submit("urgent", "urgent", vec![step(2, 4)]);
+    let submitted_at = fleet.now;
     let mut stopping: Option<u64> = None;
     loop {
-        let orders = bench.pass(50);
+        let orders = fleet.advance(50);
         let stops: Vec<String> =
             orders.iter().flat_map(|o| &o.stops).map(|stop| stop.task.job.clone()).collect();
         if !stops.is_empty() && stopping.is_none() {
-            stopping = Some(bench.now + TIMING.stop_ms);
+            stopping = Some(fleet.now + TIMING.stop_ms);
         }
-        if stopping.is_some_and(|until| bench.now >= until) {
+        if stopping.is_some_and(|until| fleet.now >= until) {
             for job in &stops {
-                bench.end(job, How::Stopped);
+                fleet.end_runs(job, How::Stopped);
             }
         }
         let urgent = starts(&orders).iter().filter(|(_, start)| start.task.job == "urgent").count();
         if urgent == 2 {
             break;
         }
-        assert!(bench.now <= submitted_at + TIMING.reclaim_ms, "not begun within the bound");
+        assert!(fleet.now <= submitted_at + TIMING.reclaim_ms, "not started within the bound");
     }
 }
 
 #[test]
-fn make_room_for_a_guarantee_from_urgent_work_beyond_others() {
-    let mut bench = Bench::new(2);
+fn preempt_for_guarantee_stops_urgent_work_outside_guarantees() {
+    let mut fleet = Fleet::new(2);
     let sub = Submission {
         job: "beyond".to_owned(),
         queue: "urgent".to_owned(),
@@ -341,109 +349,109 @@
         steps: vec![Step { estimate_ms: 60_000, ..step(2, 8) }],
         ..Submission::default()
     };
-    bench.planner.submit(bench.now, bench.now, &sub);
-    let orders = bench.pass(10);
+    fleet.planner.submit(fleet.now, fleet.now, &sub);
+    let orders = fleet.advance(10);
     assert_eq!(starts(&orders).len(), 2);
-    bench.run(&orders);
-    bench.submit("covered", "urgent", vec![step(1, 8)]);
-    let submitted_at = bench.now;
+    fleet.mark_running(&orders);
+    fleet.submit("covered", "urgent", vec![step(1, 8)]);
+    let submitted_at = fleet.now;
     let latest = submitted_at + TIMING.reclaim_ms - TIMING.stop_ms;
     let stops = |orders: &[Orders]| orders.iter().map(|orders| orders.stops.len()).sum::<usize>();
-    while stops(&bench.pass(50)) == 0 {
-        assert!(bench.now < latest, "nothing was stopped in time for the bound");
+    while stops(&fleet.advance(50)) == 0 {
+        assert!(fleet.now < latest, "no run was stopped in time for the bound");
     }
 }
 
 #[yare::parameterized(
-    one_runs_at_once = { false, 2 },
-    one_has_no_place = { true, 0 },
+    one_starts_at_once = { false, 2 },
+    one_does_not_fit = { true, 0 },
 )]
-fn make_room_for_all_waiting_subtasks_of_a_step_or_none(held: bool, expected: usize) {
-    let mut bench = Bench::new(3);
-    let submit = |bench: &mut Bench, job: &str, queue: &str, step: Step| {
+fn preempt_for_all_waiting_subtasks_of_step_or_none(one_is_held: bool, expected: usize) {
+    let mut fleet = Fleet::new(3);
+    let submit = |fleet: &mut Fleet, job: &str, queue: &str, step: Step| {
         let (account, steps) = ("guest".to_owned(), vec![step]);
         let (job, queue) = (job.to_owned(), queue.to_owned());
         let sub = Submission { job, queue, account, steps, ..Submission::default() };
-        let verdict = bench.planner.submit(bench.now, bench.now, &sub);
+        let verdict = fleet.planner.submit(fleet.now, fleet.now, &sub);
         assert!(matches!(verdict, Verdict::Accepted { .. }), "{verdict:?}");
-        let orders = bench.pass(10);
-        bench.run(&orders);
+        let orders = fleet.advance(10);
+        fleet.mark_running(&orders);
     };
-    // Work that saves its progress costs little to end.
-    submit(&mut bench, "low", "low", Step { estimate_ms: 60_000, saves: true, ..step(2, 8) });
-    if held {
-        submit(&mut bench, "holds", "urgent", Step { estimate_ms: 20_000, ..step(1, 8) });
+    // A run that saves checkpoints costs little to stop.
+    submit(&mut fleet, "low", "low", Step { estimate_ms: 60_000, saves: true, ..step(2, 8) });
+    if one_is_held {
+        submit(&mut fleet, "holds", "urgent", Step { estimate_ms: 20_000, ..step(1, 8) });
     }
-    submit(&mut bench, "urgent", "urgent", step(3, 8));
+    submit(&mut fleet, "urgent", "urgent", step(3, 8));
     let stops = |orders: &[Orders]| orders.iter().map(|orders| orders.stops.len()).sum::<usize>();
-    let most = (0..100).map(|_| stops(&bench.pass(100))).max();
-    assert_eq!(most, Some(expected));
+    let max_stops = (0..100).map(|_| stops(&fleet.advance(100))).max();
+    assert_eq!(max_stops, Some(expected));
 }
 
 #[test]
-fn make_room_only_for_what_such_jobs_have_earned() {
-    let mut bench = Bench::new(1);
-    let guest = |bench: &mut Bench, job: &str, queue: &str, step: Step| {
+fn preempt_for_declines_after_jobs_ended_late() {
+    let mut fleet = Fleet::new(1);
+    let submit = |fleet: &mut Fleet, job: &str, queue: &str, step: Step| {
         let (account, steps) = ("guest".to_owned(), vec![step]);
         let (job, queue) = (job.to_owned(), queue.to_owned());
         let sub = Submission { job, queue, account, steps, ..Submission::default() };
-        let verdict = bench.planner.submit(bench.now, bench.now, &sub);
+        let verdict = fleet.planner.submit(fleet.now, fleet.now, &sub);
         assert!(matches!(verdict, Verdict::Accepted { .. }), "{verdict:?}");
     };
-    // It leaves the reserve for urgent work free.
-    guest(&mut bench, "low", "low", Step { estimate_ms: 60_000, ..step(1, 6) });
-    let mut made_room = Vec::new();
+    // Leaves the reserve for urgent work free.
+    submit(&mut fleet, "low", "low", Step { estimate_ms: 60_000, ..step(1, 6) });
+    let mut preempted = Vec::new();
     for round in 0..8 {
         let runs = (0..50).any(|_| {
-            let orders = bench.pass(100);
-            bench.run(&orders);
+            let orders = fleet.advance(100);
+            fleet.mark_running(&orders);
             starts(&orders).iter().any(|(_, start)| start.task.job == "low")
         });
-        assert!(runs, "round {round}: the work that may be ended does not run");
+        assert!(runs, "round {round}: the low-priority job does not start");
         let job = format!("urgent{round}");
-        guest(&mut bench, &job, "urgent", step(1, 8));
-        let stopped = (0..60).any(|_| bench.pass(100).iter().any(|orders| !orders.stops.is_empty()));
-        made_room.push(stopped);
-        bench.end("low", if stopped { How::Stopped } else { How::Failed });
+        submit(&mut fleet, &job, "urgent", step(1, 8));
+        let stopped = (0..60).any(|_| fleet.advance(100).iter().any(|orders| !orders.stops.is_empty()));
+        preempted.push(stopped);
+        fleet.end_runs("low", if stopped { How::Stopped } else { How::Failed });
         if !stopped {
             break;
         }
-        let orders = bench.pass(10);
-        bench.run(&orders);
-        // The job takes several times its estimate, so that the room was made for nothing.
+        let orders = fleet.advance(10);
+        fleet.mark_running(&orders);
+        // The job takes several times its estimate and ends late, so the preemption gained nothing.
         for _ in 0..200 {
-            bench.pass(100);
+            fleet.advance(100);
         }
-        bench.end(&job, How::Done);
+        fleet.end_runs(&job, How::Done);
     }
-    assert!(made_room.len() > 1 && made_room[0], "{made_room:?}");
-    assert_eq!(made_room.last(), Some(&false), "{made_room:?}");
+    assert!(preempted.len() > 1 && preempted[0], "{preempted:?}");
+    assert_eq!(preempted.last(), Some(&false), "{preempted:?}");
 }
 
 #[test]
-fn place_spreads_a_guaranteed_gang_when_no_rack_can_be_vacated() {
-    // Two racks of three workers; other guaranteed work holds one worker of each.
-    let mut bench = Bench::new(6);
+fn place_spreads_guaranteed_gang_when_no_rack_can_be_freed() {
+    // Two racks of three workers; other guaranteed jobs occupy one worker of each.
+    let mut fleet = Fleet::new(6);
     let mut desired = desired();
     desired.version = 2;
     desired.accounts.insert("museum".to_owned(), Account { guaranteed_accelerators: 48 });
-    bench.planner.set_desired(Arc::new(desired));
+    fleet.planner.set_desired(Arc::new(desired));
     for (job, rack) in [("r0", "r0"), ("r1", "r1")] {
         let pinned = Step { label: Some(rack.to_owned()), estimate_ms: 60_000, ..step(1, 8) };
-        bench.submit(job, "urgent", vec![pinned]);
+        fleet.submit(job, "urgent", vec![pinned]);
     }
-    let orders = bench.pass(10);
-    bench.run(&orders);
-    bench.submit("gang", "urgent", vec![Step { gang: true, one_rack: true, ..step(3, 8) }]);
-    let submitted_at = bench.now;
-    while starts(&bench.pass(50)).len() < 3 {
-        assert!(bench.now <= submitted_at + TIMING.reclaim_ms, "not begun within the bound");
+    let orders = fleet.advance(10);
+    fleet.mark_running(&orders);
+    fleet.submit("gang", "urgent", vec![Step { gang: true, one_rack: true, ..step(3, 8) }]);
+    let submitted_at = fleet.now;
+    while starts(&fleet.advance(50)).len() < 3 {
+        assert!(fleet.now <= submitted_at + TIMING.reclaim_ms, "not started within the bound");
     }
 }
 
 #[test]
-fn place_orders_steps_and_occurrences() {
-    let mut bench = Bench::new(1);
+fn place_follows_order_of_steps_and_occurrences() {
+    let mut fleet = Fleet::new(1);
     let second = Step { after: vec![0], ..step(1, 1) };
     let sub = Submission {
         job: "a".to_owned(),
@@ -452,79 +460,83 @@
         schedule: Some(Schedule { occurrences: 2, first_ms: 5_000, interval_ms: 3_000 }),
         ..Submission::default()
     };
-    bench.planner.submit(bench.now, bench.now, &sub);
-    let mut seen: Vec<(u64, Task)> = Vec::new();
-    while bench.now < 15_000 {
-        let orders = bench.pass(100);
-        bench.run(&orders);
-        seen.extend(starts(&orders).into_iter().map(|(_, start)| (bench.now, start.task.clone())));
-        bench.pass(10);
-        bench.end("a", How::Done);
+    fleet.planner.submit(fleet.now, fleet.now, &sub);
+    let mut started: Vec<(u64, Task)> = Vec::new();
+    while fleet.now < 15_000 {
+        let orders = fleet.advance(100);
+        fleet.mark_running(&orders);
+        started.extend(starts(&orders).into_iter().map(|(_, start)| (fleet.now, start.task.clone())));
+        fleet.advance(10);
+        fleet.end_runs("a", How::Done);
     }
-    let order: Vec<(u32, u32)> = seen.iter().map(|(_, task)| (task.occurrence, task.step)).collect();
+    let order: Vec<(u32, u32)> = started.iter().map(|(_, task)| (task.occurrence, task.step)).collect();
     assert_eq!(order, [(0, 0), (0, 1), (1, 0), (1, 1)]);
-    assert!(seen[0].0 >= 5_000 && seen[2].0 >= 8_000, "{seen:?}");
-    assert_eq!(bench.planner.state("a"), Some(JobState::Ended(Outcome::Completed)));
+    assert!(started[0].0 >= 5_000 && started[2].0 >= 8_000, "{started:?}");
+    assert_eq!(fleet.planner.state("a"), Some(JobState::Ended(Outcome::Completed)));
 }
 
 #[test]
-fn note_end_of_a_lasting_subtask_starts_it_again() {
-    let mut bench = Bench::new(1);
-    bench.submit("a", "plain", vec![Step { lasting: true, ..step(1, 1) }]);
+fn report_end_of_lasting_subtask_restarts_it() {
+    let mut fleet = Fleet::new(1);
+    fleet.submit("a", "plain", vec![Step { lasting: true, ..step(1, 1) }]);
     for how in [How::Done, How::Failed, How::Failed, How::Failed, How::Lapsed] {
-        let orders = bench.pass(4_000);
+        let orders = fleet.advance(4_000);
         assert_eq!(starts(&orders).len(), 1, "after {how:?}");
-        bench.run(&orders);
-        bench.pass(10);
-        bench.end("a", how);
-        bench.pass(10);
+        fleet.mark_running(&orders);
+        fleet.advance(10);
+        fleet.end_runs("a", how);
+        fleet.advance(10);
     }
-    assert_eq!(bench.planner.state("a"), Some(JobState::Running));
+    assert_eq!(fleet.planner.state("a"), Some(JobState::Running));
 }
 
 #[test]
-fn place_advised_step_only_where_it_is_approved() {
-    let mut bench = Bench::new(3);
-    bench.submit("a", "advised", vec![step(2, 1)]);
-    assert!(starts(&bench.pass(10)).is_empty());
-    let (step, asked) = bench.planner.next_approval_request(bench.now).unwrap();
-    assert_eq!((step.0.as_str(), asked.len()), ("a", 3));
+fn place_advised_step_only_on_approved_workers() {
+    let mut fleet = Fleet::new(3);
+    fleet.submit("a", "advised", vec![step(2, 1)]);
+    assert!(starts(&fleet.advance(10)).is_empty());
+    let (step, requested) = fleet.planner.next_approval_request(fleet.now).unwrap();
+    assert_eq!((step.0.as_str(), requested.len()), ("a", 3));
     let admitted = [("w2".to_owned(), "ticket-2".to_owned())];
-    bench.planner.record_approvals(bench.now, &step, &asked, &admitted, 3_000);
-    let orders = bench.pass(10);
-    let found = starts(&orders);
-    assert_eq!(found.len(), 2);
-    assert!(found.iter().all(|(life, start)| *life == "w2" && start.ticket.as_deref() == Some("ticket-2")));
+    fleet.planner.record_approvals(fleet.now, &step, &requested, &admitted, 3_000);
+    let orders = fleet.advance(10);
+    let placed = starts(&orders);
+    assert_eq!(placed.len(), 2);
+    assert!(
+        placed
+            .iter()
+            .all(|(incarnation, start)| *incarnation == "w2" && start.ticket.as_deref() == Some("ticket-2"))
+    );
 }
 
 #[test]
-fn set_paces_pauses_what_fills_beside_a_strained_subtask() {
-    let mut bench = Bench::new(1);
-    bench.submit("serve", "plain", vec![Step { lasting: true, target_ms: Some(100), ..step(1, 1) }]);
-    bench.submit("fill", "low", vec![Step { fills: true, ..step(1, 0) }]);
-    let orders = bench.pass(10);
-    bench.run(&orders);
+fn tick_pauses_filler_beside_subtask_near_latency_target() {
+    let mut fleet = Fleet::new(1);
+    fleet.submit("serve", "plain", vec![Step { lasting: true, target_ms: Some(100), ..step(1, 1) }]);
+    fleet.submit("fill", "low", vec![Step { fills: true, ..step(1, 0) }]);
+    let orders = fleet.advance(10);
+    fleet.mark_running(&orders);
     assert_eq!(starts(&orders).len(), 2);
-    let figure = |bench: &mut Bench, ms: u64| {
-        for run in bench.reports[0].running.iter_mut().filter(|run| run.task.job == "serve") {
+    let report_latency = |fleet: &mut Fleet, ms: u64| {
+        for run in fleet.reports[0].running.iter_mut().filter(|run| run.task.job == "serve") {
             run.figure = ms;
         }
     };
-    figure(&mut bench, 95);
+    report_latency(&mut fleet, 95);
     let pace = |orders: &[Orders]| orders[0].paces.first().map(|pace| (pace.task.job.clone(), pace.percent));
-    assert_eq!(pace(&bench.pass(500)), Some(("fill".to_owned(), 0)));
-    figure(&mut bench, 20);
-    bench.pass(500);
-    assert_eq!(pace(&bench.pass(2_000)), Some(("fill".to_owned(), 20)));
+    assert_eq!(pace(&fleet.advance(500)), Some(("fill".to_owned(), 0)));
+    report_latency(&mut fleet, 20);
+    fleet.advance(500);
+    assert_eq!(pace(&fleet.advance(2_000)), Some(("fill".to_owned(), 20)));
 }
 
 #[yare::parameterized(
-    wider_than_a_worker = { step(1, 9) },
-    gang_wider_than_the_fleet = { Step { gang: true, ..step(3, 8) } },
-    label_that_nobody_has = { Step { label: Some("b".to_owned()), ..step(1, 1) } },
+    larger_than_any_worker = { step(1, 9) },
+    gang_larger_than_fleet = { Step { gang: true, ..step(3, 8) } },
+    label_of_no_worker = { Step { label: Some("b".to_owned()), ..step(1, 1) } },
 )]
-fn submit_refuses_what_can_never_run(step: Step) {
-    let mut bench = Bench::new(2);
-    assert!(matches!(bench.submit("a", "plain", vec![step]), Verdict::Refused { .. }));
-    assert_eq!(bench.planner.state("a"), None);
+fn submit_refuses_job_that_never_fits(step: Step) {
+    let mut fleet = Fleet::new(2);
+    assert!(matches!(fleet.submit("a", "plain", vec![step]), Verdict::Refused { .. }));
+    assert_eq!(fleet.planner.state("a"), None);
 }
