--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -35,7 +35,7 @@
     Workers,
     /// Client accounts with their guarantees and their usage.
     Accounts,
-    /// Newest refusals, latest first.
+    /// Refusals, newest first.
     Refused,
     /// Service levels of the jobs that ended recently, by account and queue.
     #[serde(rename = "Burn")]
