--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -168,10 +168,10 @@
     order.sort_by(|one, other| per_core(one).total_cmp(&per_core(other)));
     let free_without = |chosen: &[usize]| -> Vec<(&Worker, Room)> {
         let mut free = workers.to_vec();
-        for (worker, free) in &mut free {
+        for (worker, resources) in &mut free {
             for index in chosen {
                 if let Some(more) = victims[*index].resources.get(&worker.info.life) {
-                    *free += *more;
+                    *resources += *more;
                 }
             }
         }
