--- a/crates/fleet/src/apply_report.rs
+++ b/crates/fleet/src/apply_report.rs
@@ -202,7 +202,7 @@
             mark_ending(unit, now);
         }
         if entry.reason == APPROVAL_REFUSED {
-            self.approvals.spoil(&Self::step_of(&entry.task), incarnation);
+            self.approvals.invalidate(&Self::step_key_of(&entry.task), incarnation);
         }
         let (task, run, reason) = (&entry.task, entry.run, &entry.reason);
         self.log_line(format!(
--- a/crates/fleet/src/assign.rs
+++ b/crates/fleet/src/assign.rs
@@ -39,7 +39,7 @@
                     run: *run,
                     spec: job.sub.spec.clone(),
                     saved: unit.saved.clone(),
-                    ticket: self.approvals.ticket(&Self::step_of(task), &incarnation),
+                    ticket: self.approvals.newest_ticket(&Self::step_key_of(task), &incarnation),
                 }),
                 State::Ending | State::Waiting => assigned.stops.push(Stop { task: task.clone(), run: *run }),
                 State::Done if now > unit.since + GANG_END_GRACE_MS => {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,8 +4,8 @@
 //! milliseconds that includes suspended time, `wall` is milliseconds since 1970.
 
 pub mod admit;
-pub mod advice;
 pub mod apply_report;
+pub mod approvals;
 pub mod assign;
 pub mod assignments;
 pub mod desired;
