--- a/crates/control/src/clock.rs
+++ b/crates/control/src/clock.rs
@@ -1,10 +1,10 @@
-//! Clocks of a process.
+//! Monotonic and wall-clock time.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Returns a steady time in milliseconds that goes on while the machine is suspended, unlike the clock of timers.
+/// Returns a monotonic time in milliseconds. It advances while the machine is suspended, unlike the clock of timers.
 pub fn now_ms() -> u64 {
     clock_gettime(ClockId::CLOCK_BOOTTIME)
         .or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC))
@@ -12,7 +12,7 @@
         .unwrap_or_default()
 }
 
-/// Returns the time of day in milliseconds since 1970.
+/// Returns the time in milliseconds since the Unix epoch.
 pub fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map(|time| time.as_millis() as u64).unwrap_or_default()
 }
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -1,35 +1,36 @@
-//! Following a keyed topic of the store: the newest records first, then every change.
+//! Follows a keyed topic of the store: reads the newest record of each key, then every change.
 
 use std::time::Duration;
 
 use sorrelland_platform::Store;
 use sorrelland_platform::store::{Error, split_keyed};
 
-/// Pauses after a failed call, in milliseconds, growing from the first to the last.
-const PAUSE_MS: (u64, u64) = (150, 1_000);
+/// Delay after a first failed call and maximum delay, in milliseconds; it doubles with each further failure.
+const RETRY_DELAY_MS: (u64, u64) = (150, 1_000);
 
-/// Hands every record of a keyed topic to `take`, the newest of each key first: key, value and offset.
-/// `wait` is the wait of one read; a read that went silent is noticed only after it.
-pub async fn follow(store: &Store, topic: &str, wait: Duration, mut take: impl FnMut(&str, &[u8], u64)) {
+/// Passes key, value and offset of each record of a keyed topic to `apply`: first the newest of each key, then every
+/// new one. `wait` is the maximum wait of one read; a connection that has failed without an error is noticed only
+/// after it.
+pub async fn follow(store: &Store, topic: &str, wait: Duration, mut apply: impl FnMut(&str, &[u8], u64)) {
     let mut from = None;
-    let mut pause_ms = PAUSE_MS.0;
+    let mut delay_ms = RETRY_DELAY_MS.0;
     loop {
         let failed = match from {
             None => match store.newest(topic).await {
                 Ok((items, end)) => {
                     for item in items {
-                        take(&item.key, &item.value, item.offset);
+                        apply(&item.key, &item.value, item.offset);
                     }
                     from = Some(end);
                     None
                 }
                 Err(e) => Some(e),
             },
-            Some(at) => match store.read(topic, at, wait).await {
+            Some(offset) => match store.read(topic, offset, wait).await {
                 Ok(read) => {
-                    for (offset, raw) in (at..).zip(&read.records) {
+                    for (offset, raw) in (offset..).zip(&read.records) {
                         match split_keyed(raw) {
-                            Some((key, value)) => take(key, value, offset),
+                            Some((key, value)) => apply(key, value, offset),
                             None => log::warn!("event=record_skipped topic={topic} offset={offset}"),
                         }
                     }
@@ -45,17 +46,17 @@
         };
         match failed {
             None => {
-                if pause_ms != PAUSE_MS.0 {
+                if delay_ms != RETRY_DELAY_MS.0 {
                     log::info!("event=store_regained topic={topic}");
                 }
-                pause_ms = PAUSE_MS.0;
+                delay_ms = RETRY_DELAY_MS.0;
             }
             Some(e) => {
-                if pause_ms == PAUSE_MS.0 {
+                if delay_ms == RETRY_DELAY_MS.0 {
                     log::warn!("event=store_lost topic={topic} cause=\"{e}\"");
                 }
-                tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-                pause_ms = (pause_ms * 2).min(PAUSE_MS.1);
+                tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+                delay_ms = (delay_ms * 2).min(RETRY_DELAY_MS.1);
             }
         }
     }
