--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,6 @@
 //! The processes that run on the users' platform: entries, one of which plans, and agents beside the workers.
 
+pub mod adaptive_timeout;
 pub mod agent;
 pub mod callers;
 pub mod calls;
@@ -11,7 +12,6 @@
 pub mod logging;
 pub mod metrics;
 pub mod operators;
-pub mod patience;
 pub mod reload;
 pub mod seat;
 pub mod signals;
--- a/crates/control/src/seat.rs
+++ b/crates/control/src/seat.rs
@@ -14,10 +14,10 @@
 use sorrelland_platform::{Policy, Store};
 use tokio::sync::{Notify, watch};
 
+use crate::adaptive_timeout::AdaptiveTimeout;
 use crate::calls::{Ask, Holder, Told};
 use crate::clock::{now_ms, wall_ms};
 use crate::duty::{ALONE_MS, RENEW_EVERY, renew};
-use crate::patience::Patience;
 use crate::stored::{APPEND_PAUSE, JOBS, PRODUCER, load, outcome, parts};
 use crate::{lock, metrics};
 
@@ -157,14 +157,14 @@
     }
 
     async fn run_appends(self: Arc<Self>, store: Store, mut writer: Writer) {
-        let mut patience = Patience::default();
+        let mut append_timeout = AdaptiveTimeout::default();
         while !self.is_over() {
             self.append.notified().await;
             loop {
                 let Some((records, change)) = lock(&self.planner).take_changes() else { break };
                 let raw: Vec<Vec<u8>> = records.iter().map(keyed).collect();
                 for part in parts(raw) {
-                    if !self.append_part(&store, &mut writer, &mut patience, &part).await {
+                    if !self.append_part(&store, &mut writer, &mut append_timeout, &part).await {
                         return;
                     }
                 }
@@ -184,7 +184,7 @@
         &self,
         store: &Store,
         writer: &mut Writer,
-        patience: &mut Patience,
+        append_timeout: &mut AdaptiveTimeout,
         part: &[Vec<u8>],
     ) -> bool {
         // Set once an append may have been carried out although no answer came.
@@ -192,11 +192,11 @@
         let mut tries = 0_u32;
         while !self.is_over() {
             let began = Instant::now();
-            let appended = store.append_as(JOBS, writer, part, patience.wait()).await;
+            let appended = store.append_as(JOBS, writer, part, append_timeout.wait()).await;
             metrics::append(outcome(&appended), began);
             match &appended {
-                Err(e) if !e.nothing_done() => patience.note_missed(),
-                _ => patience.note(began.elapsed()),
+                Err(e) if !e.nothing_done() => append_timeout.record_timeout(),
+                _ => append_timeout.record_reply(began.elapsed()),
             }
             match appended {
                 Ok(_) => {
