--- a/crates/control/src/seat.rs
+++ b/crates/control/src/seat.rs
@@ -18,7 +18,7 @@
 use crate::calls::{Ask, Holder, Told};
 use crate::clock::{now_ms, wall_ms};
 use crate::duty::{ALONE_MS, RENEW_EVERY, renew};
-use crate::stored::{APPEND_PAUSE, JOBS, PRODUCER, load, outcome, parts};
+use crate::stored::{APPEND_RETRY_DELAY, JOBS, PRODUCER, append_outcome, load_jobs, split_into_appends};
 use crate::{lock, metrics};
 
 /// Time between two passes when nothing else causes one; occurrences start no later than this after their time.
@@ -68,7 +68,7 @@
         desired: Arc<Desired>,
     ) -> Option<Arc<Self>> {
         let mut writer = Writer { producer: PRODUCER.to_owned(), epoch: holder.epoch, sequence: 0 };
-        let jobs = load(store, &mut writer).await?;
+        let jobs = load_jobs(store, &mut writer).await?;
         let planner = Planner::new(timing, desired, jobs, now_ms());
         let seat = Arc::new(Self {
             holder,
@@ -163,7 +163,7 @@
             loop {
                 let Some((records, change)) = lock(&self.planner).take_changes() else { break };
                 let raw: Vec<Vec<u8>> = records.iter().map(keyed).collect();
-                for part in parts(raw) {
+                for part in split_into_appends(raw) {
                     if !self.append_part(&store, &mut writer, &mut append_timeout, &part).await {
                         return;
                     }
@@ -193,7 +193,7 @@
         while !self.is_over() {
             let began = Instant::now();
             let appended = store.append_as(JOBS, writer, part, append_timeout.wait()).await;
-            metrics::append(outcome(&appended), began);
+            metrics::append(append_outcome(&appended), began);
             match &appended {
                 Err(e) if !e.nothing_done() => append_timeout.record_timeout(),
                 _ => append_timeout.record_reply(began.elapsed()),
@@ -222,7 +222,7 @@
                         let sequence = writer.sequence;
                         log::warn!("event=append_retried sequence={sequence} tries={tries} cause=\"{e}\"");
                     }
-                    tokio::time::sleep(APPEND_PAUSE).await;
+                    tokio::time::sleep(APPEND_RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/control/src/stored.rs
+++ b/crates/control/src/stored.rs
@@ -1,4 +1,4 @@
-//! The jobs as they lie in the store: their topic, their appends, and reading them back.
+//! Jobs in the store: their topic, the limits of appends, and loading them.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 /// Topic of the jobs.
 pub(crate) const JOBS: &str = "keyed.jobs";
 
-/// Name under which planners write the jobs; epochs order them.
+/// Producer name of every planner; epochs order the planners.
 pub(crate) const PRODUCER: &str = "planner";
 
-/// Pause after an append that was refused.
-pub(crate) const APPEND_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed append or load.
+pub(crate) const APPEND_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Bytes of one append at most, below the store's limit of a call.
-pub(crate) const APPEND_BYTES: usize = 1_500_000;
+/// Maximum size of one append in bytes, below the store's limit of a call.
+pub(crate) const MAX_APPEND_BYTES: usize = 1_500_000;
 
-/// Tries to read the jobs before the office is given back.
-pub(crate) const LOAD_TRIES: u32 = 20;
+/// Attempts to load the jobs before the planner's start is abandoned.
+pub(crate) const MAX_LOAD_ATTEMPTS: u32 = 20;
 
-/// Returns the outcome of an append for the metrics.
-pub(crate) fn outcome<T>(result: &Result<T>) -> &'static str {
+/// Returns the metrics label of an append's result.
+pub(crate) fn append_outcome<T>(result: &Result<T>) -> &'static str {
     match result {
         Ok(_) => "stored",
         Err(Error::Fenced) => "fenced",
@@ -31,12 +31,12 @@
     }
 }
 
-/// Splits records into appends that the store takes in one call.
-pub(crate) fn parts(raw: Vec<Vec<u8>>) -> Vec<Vec<Vec<u8>>> {
+/// Splits records into appends within the store's limit of a call.
+pub(crate) fn split_into_appends(raw: Vec<Vec<u8>>) -> Vec<Vec<Vec<u8>>> {
     let mut parts: Vec<Vec<Vec<u8>>> = Vec::new();
     let mut bytes = usize::MAX;
     for record in raw {
-        if bytes.saturating_add(record.len()) > APPEND_BYTES {
+        if bytes.saturating_add(record.len()) > MAX_APPEND_BYTES {
             parts.push(Vec::new());
             bytes = 0;
         }
@@ -48,10 +48,10 @@
     parts
 }
 
-/// Sets the epoch of the jobs, which refuses every earlier writer from then on, and reads them.
-pub(crate) async fn load(store: &Store, writer: &mut Writer) -> Option<Vec<Job>> {
+/// Sets the epoch of the jobs' topic, which fences every earlier writer, and loads the jobs.
+pub(crate) async fn load_jobs(store: &Store, writer: &mut Writer) -> Option<Vec<Job>> {
     let mut fenced = false;
-    for _ in 0..LOAD_TRIES {
+    for _ in 0..MAX_LOAD_ATTEMPTS {
         if !fenced {
             match store.append_as(JOBS, writer, &[], CALL_TIMEOUT).await {
                 Ok(_) => fenced = true,
@@ -77,7 +77,7 @@
                 Err(e) => log::warn!("event=load_retried cause=\"{e}\""),
             }
         }
-        tokio::time::sleep(APPEND_PAUSE).await;
+        tokio::time::sleep(APPEND_RETRY_DELAY).await;
     }
     None
 }
