--- a/crates/control/src/seat.rs
+++ b/crates/control/src/active_planner.rs
@@ -1,4 +1,4 @@
-//! A planner in office: the decisions, driven by real clocks, the store and the agents.
+//! The active planner: connects the planning decisions with real clocks, the store and the agents.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -15,128 +15,128 @@
 use tokio::sync::{Notify, watch};
 
 use crate::adaptive_timeout::AdaptiveTimeout;
-use crate::calls::{Ask, Holder, Told};
+use crate::calls::{Leader, PlannerReply as Reply, PlannerRequest};
 use crate::clock::{now_ms, wall_ms};
-use crate::duty::{ALONE_MS, RENEW_EVERY, renew};
+use crate::election::{MAX_STORE_OUTAGE_MS, RENEWAL_INTERVAL, renew};
 use crate::stored::{APPEND_RETRY_DELAY, JOBS, PRODUCER, append_outcome, load_jobs, split_into_appends};
 use crate::{lock, metrics};
 
-/// Time between two passes when nothing else causes one; occurrences start no later than this after their time.
-const PASS_EVERY: Duration = Duration::from_millis(100);
+/// Time between two planning passes when nothing else triggers one; an occurrence of a scheduled job starts at most
+/// this late.
+const PASS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for which an agent's call waits when there is nothing new.
+/// Maximum time for which an agent's report waits for new assignments.
 const AGENT_WAIT: Duration = Duration::from_millis(500);
 
-/// Tries of an append between two lines about it, about a second.
-const LOG_TRIES: u32 = 10;
+/// Failed tries of an append per log line: about one line a second.
+const TRIES_PER_LOG_LINE: u32 = 10;
 
-/// Wait for a question for the policy service before the office is looked at again.
-const QUESTION_WAIT: Duration = Duration::from_secs(2);
+/// Maximum wait for an approval request before the leadership is checked again.
+const APPROVAL_REQUEST_WAIT: Duration = Duration::from_secs(2);
 
-/// A planner in office.
-pub struct Seat {
-    /// The office as this process holds it.
-    pub holder: Holder,
+/// The planner of the leader, with its tasks.
+pub struct ActivePlanner {
+    /// The leader that this process is, with its epoch.
+    pub leader: Leader,
     planner: Mutex<Planner>,
-    /// Causes a pass.
+    /// Triggers a planning pass.
     pass: Notify,
-    /// Causes an append.
+    /// Triggers an append of the changes.
     append: Notify,
-    /// Causes questions to the policy service.
-    questions: Notify,
+    /// Triggers requests to the policy service.
+    approval_requests: Notify,
+    /// Number of the newest stored change.
     stored: watch::Sender<u64>,
-    over: watch::Sender<bool>,
+    stepped_down: watch::Sender<bool>,
     agents: Mutex<BTreeMap<String, AgentSlot>>,
 }
 
-/// What an agent was told, and how to wake its waiting call.
+/// The newest report and assignments of an agent, and how to wake its waiting call.
 #[derive(Default)]
 struct AgentSlot {
     wake: Arc<Notify>,
-    /// Life and number of the newest report.
+    /// Incarnation of the agent and number of its newest report.
     newest: (u64, u64),
-    told: Option<(u64, Assignments)>,
+    /// Assignments last sent, with the incarnation of the agent that received them.
+    sent: Option<(u64, Assignments)>,
 }
 
-impl Seat {
-    /// Takes the office up: fences every earlier writer, then reads the jobs.
-    pub async fn take(
+impl ActivePlanner {
+    /// Fences every earlier writer, reads the jobs and spawns the tasks of the planner.
+    pub async fn start(
         store: &Store,
         policy: Option<Policy>,
-        holder: Holder,
+        leader: Leader,
         timing: Timing,
         desired: Arc<Desired>,
     ) -> Option<Arc<Self>> {
-        let mut writer = Writer { producer: PRODUCER.to_owned(), epoch: holder.epoch, sequence: 0 };
+        let mut writer = Writer { producer: PRODUCER.to_owned(), epoch: leader.epoch, sequence: 0 };
         let jobs = load_jobs(store, &mut writer).await?;
         let planner = Planner::new(timing, desired, jobs, now_ms());
-        let seat = Arc::new(Self {
-            holder,
+        let active = Arc::new(Self {
+            leader,
             planner: Mutex::new(planner),
             pass: Notify::new(),
             append: Notify::new(),
-            questions: Notify::new(),
+            approval_requests: Notify::new(),
             stored: watch::Sender::new(0),
-            over: watch::Sender::new(false),
+            stepped_down: watch::Sender::new(false),
             agents: Mutex::default(),
         });
-        log::info!("event=office_taken epoch={}", seat.holder.epoch);
-        tokio::spawn(seat.clone().run_passes());
-        tokio::spawn(seat.clone().run_appends(store.clone(), writer));
-        tokio::spawn(seat.clone().run_renewals(store.clone()));
+        log::info!("event=office_taken epoch={}", active.leader.epoch);
+        tokio::spawn(active.clone().run_passes());
+        tokio::spawn(active.clone().run_appends(store.clone(), writer));
+        tokio::spawn(active.clone().run_renewals(store.clone()));
         if let Some(policy) = policy {
-            tokio::spawn(seat.clone().run_questions(policy));
+            tokio::spawn(active.clone().run_approval_requests(policy));
         }
-        Some(seat)
+        Some(active)
     }
 
-    /// Returns whether the office is over.
-    pub fn is_over(&self) -> bool {
-        *self.over.borrow()
+    pub fn has_stepped_down(&self) -> bool {
+        *self.stepped_down.borrow()
     }
 
-    /// Waits until the office is over.
-    pub async fn ended(&self) {
-        let mut over = self.over.subscribe();
-        // The sender lives as long as this seat.
-        let _ = over.wait_for(|over| *over).await;
+    pub async fn wait_for_step_down(&self) {
+        let mut stepped_down = self.stepped_down.subscribe();
+        // The sender exists as long as this planner.
+        let _ = stepped_down.wait_for(|stepped_down| *stepped_down).await;
     }
 
-    /// Ends the office; every call is answered with a redirection from now on.
-    pub fn end(&self, why: &str) {
-        if !self.over.send_replace(true) {
-            log::info!("event=office_ended epoch={} why=\"{why}\"", self.holder.epoch);
+    /// Ends the leadership of this process; from now on every call is answered by a redirection.
+    pub fn step_down(&self, why: &str) {
+        if !self.stepped_down.send_replace(true) {
+            log::info!("event=office_ended epoch={} why=\"{why}\"", self.leader.epoch);
         }
         for slot in lock(&self.agents).values() {
             slot.wake.notify_waiters();
         }
     }
 
-    /// Hands a new desired state to the decisions.
     pub fn set_desired(&self, desired: Arc<Desired>) {
         lock(&self.planner).set_desired(desired);
         self.pass.notify_one();
     }
 
     async fn run_passes(self: Arc<Self>) {
-        while !self.is_over() {
-            let waited = tokio::time::timeout(PASS_EVERY, self.pass.notified());
-            // Either a cause or the time for the next pass.
+        while !self.has_stepped_down() {
+            let waited = tokio::time::timeout(PASS_INTERVAL, self.pass.notified());
+            // A time-out triggers a pass as well.
             let _ = waited.await;
-            self.pass_now();
+            self.run_pass();
         }
     }
 
-    fn pass_now(&self) {
-        let (lines, poked) = {
+    fn run_pass(&self) {
+        let (lines, to_wake) = {
             let mut planner = lock(&self.planner);
             planner.tick(now_ms(), wall_ms());
-            let (heard, known) = planner.reporting_workers(now_ms());
-            metrics::level("workers_heard", heard as u64);
+            let (reporting, known) = planner.reporting_workers(now_ms());
+            metrics::level("workers_heard", reporting as u64);
             metrics::level("workers_known", known as u64);
             metrics::level("jobs_live", planner.live_jobs() as u64);
             if planner.has_approval_requests() {
-                self.questions.notify_one();
+                self.approval_requests.notify_one();
             }
             (planner.take_log(), planner.take_agents_to_wake())
         };
@@ -144,10 +144,10 @@
             log::info!("{line}");
         }
         self.append.notify_one();
-        self.poke(poked);
+        self.wake_agents(to_wake);
     }
 
-    fn poke(&self, agents: Vec<String>) {
+    fn wake_agents(&self, agents: Vec<String>) {
         let slots = lock(&self.agents);
         for agent in agents {
             if let Some(slot) = slots.get(&agent) {
@@ -158,7 +158,7 @@
 
     async fn run_appends(self: Arc<Self>, store: Store, mut writer: Writer) {
         let mut append_timeout = AdaptiveTimeout::default();
-        while !self.is_over() {
+        while !self.has_stepped_down() {
             self.append.notified().await;
             loop {
                 let Some((records, change)) = lock(&self.planner).take_changes() else { break };
@@ -168,18 +168,18 @@
                         return;
                     }
                 }
-                let poked = {
+                let to_wake = {
                     let mut planner = lock(&self.planner);
                     planner.record_stored(change);
                     planner.take_agents_to_wake_after_store()
                 };
                 self.stored.send_replace(change);
-                self.poke(poked);
+                self.wake_agents(to_wake);
             }
         }
     }
 
-    /// Appends until the store has answered; returns whether the office goes on.
+    /// Repeats an append until it is stored; returns `false` if the leadership ended instead.
     async fn append_part(
         &self,
         store: &Store,
@@ -187,10 +187,10 @@
         append_timeout: &mut AdaptiveTimeout,
         part: &[Vec<u8>],
     ) -> bool {
-        // Set once an append may have been carried out although no answer came.
+        // Set once an append without an answer may have been carried out.
         let mut unanswered = false;
         let mut tries = 0_u32;
-        while !self.is_over() {
+        while !self.has_stepped_down() {
             let began = Instant::now();
             let appended = store.append_as(JOBS, writer, part, append_timeout.wait()).await;
             metrics::append(append_outcome(&appended), began);
@@ -204,7 +204,7 @@
                     return true;
                 }
                 Err(Error::Fenced) => {
-                    self.end("a writer with a higher epoch has taken over");
+                    self.step_down("a writer with a higher epoch has taken over");
                     return false;
                 }
                 Err(Error::Sequence { expected: Some(next) }) if !unanswered && next != writer.sequence => {
@@ -212,13 +212,13 @@
                     writer.sequence = next;
                 }
                 Err(e @ Error::Sequence { .. }) => {
-                    self.end(&format!("the order of appends is lost: {e}"));
+                    self.step_down(&format!("append sequence lost: {e}"));
                     return false;
                 }
                 Err(e) => {
                     unanswered |= !e.nothing_done();
                     tries += 1;
-                    if tries == 1 || tries.is_multiple_of(LOG_TRIES) {
+                    if tries == 1 || tries.is_multiple_of(TRIES_PER_LOG_LINE) {
                         let sequence = writer.sequence;
                         log::warn!("event=append_retried sequence={sequence} tries={tries} cause=\"{e}\"");
                     }
@@ -231,32 +231,38 @@
 
     async fn run_renewals(self: Arc<Self>, store: Store) {
         let mut renewed_at = now_ms();
-        while !self.is_over() {
-            match renew(&store, self.holder.epoch, false).await {
+        while !self.has_stepped_down() {
+            match renew(&store, self.leader.epoch, false).await {
                 Ok(()) => renewed_at = now_ms(),
-                Err(e) => log::warn!("event=renewal_failed epoch={} cause=\"{e}\"", self.holder.epoch),
+                Err(e) => log::warn!("event=renewal_failed epoch={} cause=\"{e}\"", self.leader.epoch),
             }
-            if now_ms() > renewed_at + ALONE_MS {
-                self.end("the store was out of reach for too long");
+            if now_ms() > renewed_at + MAX_STORE_OUTAGE_MS {
+                self.step_down("the store was unreachable for too long");
             }
-            tokio::time::sleep(RENEW_EVERY).await;
+            tokio::time::sleep(RENEWAL_INTERVAL).await;
         }
     }
 
-    /// Asks the policy service, which answers one question after another anyway.
-    async fn run_questions(self: Arc<Self>, policy: Policy) {
-        while !self.is_over() {
-            let question = lock(&self.planner).next_approval_request(now_ms());
-            let Some((step, workers)) = question else {
-                // Either a question, or a look whether the office is over.
-                let _ = tokio::time::timeout(QUESTION_WAIT, self.questions.notified()).await;
+    /// Sends approval requests one at a time, since the policy service answers them one at a time anyway.
+    async fn run_approval_requests(self: Arc<Self>, policy: Policy) {
+        while !self.has_stepped_down() {
+            let approval_request = lock(&self.planner).next_approval_request(now_ms());
+            let Some((step, workers)) = approval_request else {
+                // After a time-out the loop checks whether the leadership has ended.
+                let _ = tokio::time::timeout(APPROVAL_REQUEST_WAIT, self.approval_requests.notified()).await;
                 continue;
             };
             let name = format!("{}.{}.{}", step.0, step.1, step.2);
             match policy.ask(&name, &workers).await {
-                Ok(told) => {
+                Ok(approvals) => {
                     let mut planner = lock(&self.planner);
-                    planner.record_approvals(now_ms(), &step, &workers, &told.admitted, told.valid_ms);
+                    planner.record_approvals(
+                        now_ms(),
+                        &step,
+                        &workers,
+                        &approvals.admitted,
+                        approvals.valid_ms,
+                    );
                     drop(planner);
                     self.pass.notify_one();
                 }
@@ -265,49 +271,49 @@
         }
     }
 
-    /// Waits until a change is stored; returns whether it is.
+    /// Waits at most `wait` until a change is stored; returns whether it is.
     async fn wait_stored(&self, change: u64, wait: Duration) -> bool {
         let mut stored = self.stored.subscribe();
-        let mut over = self.over.subscribe();
+        let mut stepped_down = self.stepped_down.subscribe();
         let stored = async {
-            // The sender lives as long as this seat.
+            // The sender exists as long as this planner.
             let _ = stored.wait_for(|stored| *stored >= change).await;
             true
         };
         tokio::select! {
             done = stored => done,
-            _ = over.wait_for(|over| *over) => false,
+            _ = stepped_down.wait_for(|stepped_down| *stepped_down) => false,
             () = tokio::time::sleep(wait) => false,
         }
     }
 
-    /// Answers on behalf of a caller who waits for `wait`.
-    pub async fn ask(&self, ask: Ask, wait: Duration) -> Told {
-        if self.is_over() {
-            return Told::NotPlanner(None);
+    /// Handles the request of a caller, who waits for `wait`.
+    pub async fn handle_request(&self, request: PlannerRequest, wait: Duration) -> Reply {
+        if self.has_stepped_down() {
+            return Reply::NotPlanner(None);
         }
-        match ask {
-            Ask::Submit(sub) => {
-                let verdict = {
+        match request {
+            PlannerRequest::Submit(sub) => {
+                let admission = {
                     let mut planner = lock(&self.planner);
                     planner.submit(now_ms(), wall_ms(), &sub)
                 };
-                match verdict {
+                match admission {
                     Admission::Refused { reason: why, retry_after_ms } => {
-                        let Self { holder, .. } = self;
+                        let Self { leader, .. } = self;
                         log::info!(
                             "event=refused job={} queue={} account={} epoch={} retry_after_ms={retry_after_ms} \
                              why=\"{why}\"",
                             sub.job,
                             sub.queue,
                             sub.account,
-                            holder.epoch
+                            leader.epoch
                         );
-                        Told::Refused { why, retry_after_ms }
+                        Reply::Refused { why, retry_after_ms }
                     }
                     Admission::Accepted { change } => {
-                        // The placement goes into the same append as the job.
-                        self.pass_now();
+                        // A pass places the job now, so that one append stores both the job and its placement.
+                        self.run_pass();
                         match self.wait_stored(change, wait).await {
                             true => {
                                 log::info!(
@@ -317,36 +323,36 @@
                                     sub.account,
                                     shape(&sub)
                                 );
-                                Told::Accepted
+                                Reply::Accepted
                             }
-                            // Even when the office is over the append may have been carried out.
-                            false => Told::Unresolved,
+                            // The append may have been carried out even if the leadership has ended.
+                            false => Reply::Unresolved,
                         }
                     }
                 }
             }
-            Ask::State(job) => Told::State(lock(&self.planner).state(&job)),
-            Ask::Pending(queue) => Told::Pending(lock(&self.planner).pending(&queue) as u64),
-            Ask::Show(query) => {
-                Told::Shown(lock(&self.planner).view(&query, now_ms(), wall_ms()).to_string())
+            PlannerRequest::State(job) => Reply::State(lock(&self.planner).state(&job)),
+            PlannerRequest::Pending(queue) => Reply::Pending(lock(&self.planner).pending(&queue) as u64),
+            PlannerRequest::View(query) => {
+                Reply::View(lock(&self.planner).view(&query, now_ms(), wall_ms()).to_string())
             }
-            Ask::Cancel(job) => {
+            PlannerRequest::Cancel(job) => {
                 let change = lock(&self.planner).cancel(now_ms(), wall_ms(), &job);
-                let Some(change) = change else { return Told::Cancelled(false) };
-                self.pass_now();
+                let Some(change) = change else { return Reply::Cancelled(false) };
+                self.run_pass();
                 match self.wait_stored(change, wait).await {
-                    true => Told::Cancelled(true),
-                    false => Told::Unresolved,
+                    true => Reply::Cancelled(true),
+                    false => Reply::Unresolved,
                 }
             }
         }
     }
 
-    /// Takes an agent's report and returns the wish for its worker once it differs from what the agent was told,
-    /// or after a while.
+    /// Applies an agent's report and returns the assignments of its worker once they differ from those last sent, or
+    /// after [`AGENT_WAIT`]. Returns `None` if this process no longer leads.
     pub async fn report(&self, report: Report) -> Option<Option<Assignments>> {
-        let (agent, life, seq) = (report.agent.clone(), report.agent_incarnation, report.seq);
-        let news = !report.ended.is_empty() || !report.not_started.is_empty();
+        let (agent, incarnation, seq) = (report.agent.clone(), report.agent_incarnation, report.seq);
+        let has_results = !report.ended.is_empty() || !report.not_started.is_empty();
         let joined = {
             let mut planner = lock(&self.planner);
             let before = planner.reporting_workers(now_ms()).1;
@@ -356,54 +362,59 @@
         let wake = {
             let mut slots = lock(&self.agents);
             let slot = slots.entry(agent.clone()).or_default();
-            if slot.newest.0 != life || slot.newest.1 < seq {
-                slot.newest = (life, seq);
-                // An older report of this agent has nothing to wait for any more.
+            if slot.newest.0 != incarnation || slot.newest.1 < seq {
+                slot.newest = (incarnation, seq);
+                // Ends the wait of the older report, which this one replaces.
                 slot.wake.notify_waiters();
             }
             slot.wake.clone()
         };
-        if news || joined {
+        if has_results || joined {
             self.pass.notify_one();
         }
-        let until = tokio::time::Instant::now() + AGENT_WAIT;
+        let deadline = tokio::time::Instant::now() + AGENT_WAIT;
         loop {
-            if self.is_over() {
+            if self.has_stepped_down() {
                 return None;
             }
-            // Listens before it looks: a change between the two wakes it.
+            // Registers before the check, so that a change between the two is not missed.
             let woken = wake.notified();
             tokio::pin!(woken);
             woken.as_mut().enable();
-            let orders = lock(&self.planner).assignments(now_ms(), &agent);
-            let late = tokio::time::Instant::now() >= until;
-            if late || self.differs(&agent, life, orders.as_ref()) || self.is_superseded(&agent, life, seq) {
-                return Some(orders);
+            let assignments = lock(&self.planner).assignments(now_ms(), &agent);
+            let timed_out = tokio::time::Instant::now() >= deadline;
+            if timed_out
+                || self.record_if_changed(&agent, incarnation, assignments.as_ref())
+                || self.is_superseded(&agent, incarnation, seq)
+            {
+                return Some(assignments);
             }
-            // Woken by a change for this agent, or by the end of the wait.
-            let _ = tokio::time::timeout_at(until, woken).await;
+            // Returns on a change for this agent or at the deadline.
+            let _ = tokio::time::timeout_at(deadline, woken).await;
         }
     }
 
-    /// Returns whether a newer report of the agent has come.
-    fn is_superseded(&self, agent: &str, life: u64, seq: u64) -> bool {
-        lock(&self.agents).get(agent).is_some_and(|slot| slot.newest.0 != life || slot.newest.1 > seq)
+    /// Returns whether a newer report of the agent has arrived.
+    fn is_superseded(&self, agent: &str, incarnation: u64, seq: u64) -> bool {
+        lock(&self.agents).get(agent).is_some_and(|slot| slot.newest.0 != incarnation || slot.newest.1 > seq)
     }
 
-    /// Returns whether a wish differs from what a life of an agent was told last, and notes it as told.
-    fn differs(&self, agent: &str, life: u64, orders: Option<&Assignments>) -> bool {
+    /// Records assignments as sent to an incarnation of an agent, unless they equal the last ones sent to it; returns
+    /// whether it did.
+    fn record_if_changed(&self, agent: &str, incarnation: u64, assignments: Option<&Assignments>) -> bool {
         let mut slots = lock(&self.agents);
-        let (Some(slot), Some(orders)) = (slots.get_mut(agent), orders) else { return false };
-        let told = slot.told.as_ref();
-        if told.is_some_and(|(told_life, told)| *told_life == life && same_wish(told, orders)) {
+        let (Some(slot), Some(assignments)) = (slots.get_mut(agent), assignments) else { return false };
+        let sent = slot.sent.as_ref();
+        if sent.is_some_and(|(sent_to, sent)| *sent_to == incarnation && same_assignments(sent, assignments))
+        {
             return false;
         }
-        slot.told = Some((life, orders.clone()));
+        slot.sent = Some((incarnation, assignments.clone()));
         true
     }
 }
 
-/// Returns the shape of a job for the logs.
+/// Formats the size and options of a job for the logs.
 fn shape(sub: &Submission) -> String {
     let step = |step: &Step| {
         let flags = [
@@ -429,8 +440,8 @@
     format!("occurrences={occurrences} shape=\"{}\"", steps.join(","))
 }
 
-/// Returns whether two wishes ask for the same.
-fn same_wish(one: &Assignments, other: &Assignments) -> bool {
-    let plain = |orders: &Assignments| Assignments { number: 0, grant_ms: 0, ..orders.clone() };
+/// Compares assignments without their number and grant.
+fn same_assignments(one: &Assignments, other: &Assignments) -> bool {
+    let plain = |assignments: &Assignments| Assignments { number: 0, grant_ms: 0, ..assignments.clone() };
     plain(one) == plain(other)
 }
--- a/crates/control/src/agent.rs
+++ b/crates/control/src/agent.rs
@@ -14,9 +14,9 @@
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
-use crate::calls::{Links, Ping, Wish, call};
+use crate::calls::{EntryPool, Ping, ReportReply, call};
 use crate::clock::now_ms;
-use crate::duty::{CLAIMS, Office};
+use crate::election::{CLAIMS, Leadership};
 use crate::lease::Watched;
 use crate::signals::{self, stopped};
 use crate::{Error as RunError, Result, follow, lock, metrics, reload};
@@ -57,8 +57,8 @@
 struct Agent {
     settings: Settings,
     life: u64,
-    office: Office,
-    links: Links,
+    office: Leadership,
+    links: EntryPool,
     worker: WorkerClient,
     watched: Mutex<Watched>,
     entries: Mutex<Vec<String>>,
@@ -85,8 +85,8 @@
     let store = Store::new(&settings.store);
     let agent = Arc::new(Agent {
         life: rand::random(),
-        office: Office::default(),
-        links: Links::new(&settings.store),
+        office: Leadership::default(),
+        links: EntryPool::new(&settings.store),
         worker: WorkerClient::new(&worker.to_string()),
         watched: Mutex::new(Watched::new(settings.bounds.longest_lease_ms, settings.bounds.stop_ms)),
         entries: Mutex::default(),
@@ -105,7 +105,7 @@
     let server = serve::start(listen, handler)?;
     log::info!("event=started role=agent instance={} life={}", agent.settings.instance, agent.life);
     let office = agent.office.clone();
-    let take = move |key: &str, value: &[u8], offset: u64| office.take(key, value, offset);
+    let take = move |key: &str, value: &[u8], offset: u64| office.apply_claim(key, value, offset);
     tokio::spawn(async move { follow::follow(&store, CLAIMS, FOLLOW_WAIT, take).await });
     tokio::spawn(agent.clone().run_orders());
     tokio::spawn(agent.clone().run_looks());
@@ -177,7 +177,7 @@
     }
 
     async fn report_once(&self, seq: u64) {
-        let Some(holder) = self.office.holder() else {
+        let Some(holder) = self.office.leader() else {
             tokio::time::sleep(REPORT_PAUSE).await;
             return;
         };
@@ -186,14 +186,14 @@
         let answer =
             call(&self.links, &holder.address, REPORT_TIMEOUT, async |rpc, cx| rpc.report(cx, report).await);
         match answer.await {
-            Ok(Wish::Orders { epoch, orders, entries }) => {
+            Ok(ReportReply::Assignments { epoch, assignments, entries }) => {
                 if !entries.is_empty() {
                     *lock(&self.entries) = entries;
                 }
                 let (taken, confirmed) = {
                     let mut watched = lock(&self.watched);
                     let before = watched.seen();
-                    (watched.take_orders(sent, epoch, orders), watched.seen() > before)
+                    (watched.take_orders(sent, epoch, assignments), watched.seen() > before)
                 };
                 if taken {
                     self.orders.notify_one();
@@ -202,8 +202,8 @@
                     self.look.notify_one();
                 }
             }
-            Ok(Wish::NotPlanner(known)) => {
-                self.office.learn(known);
+            Ok(ReportReply::NotPlanner(known)) => {
+                self.office.update_leader(known);
                 tokio::time::sleep(REPORT_PAUSE).await;
             }
             Err(e) => {
@@ -218,11 +218,11 @@
     async fn ask_entries(&self, silent: &str) {
         let entries = lock(&self.entries).clone();
         let pings = entries.iter().filter(|address| *address != silent).map(|address| async move {
-            let ping = Ping { address: String::new(), holder: self.office.holder(), version: u64::MAX };
+            let ping = Ping { address: String::new(), leader: self.office.leader(), version: u64::MAX };
             call(&self.links, address, PING_TIMEOUT, async |rpc, cx| rpc.ping(cx, ping).await).await
         });
         for pong in join_all(pings).await.into_iter().flatten() {
-            self.office.learn(pong.holder);
+            self.office.update_leader(pong.leader);
         }
     }
 
--- a/crates/control/src/callers.rs
+++ b/crates/control/src/callers.rs
@@ -1,4 +1,4 @@
-//! Answering callers: queues, keys and names first, then the planner is asked on their behalf.
+//! Answers callers: checks queue, key and job name, then calls the planner on their behalf.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,33 +11,33 @@
 use sorrelland_platform::serve::{Answer, Call};
 use sorrelland_wire::connect::CallError;
 
-use crate::calls::{Ask, Told, call};
+use crate::calls::{PlannerReply as Reply, PlannerRequest, call};
 use crate::entry::Entry;
 use crate::metrics;
 
-/// Time for one try at the planner: long enough for a slow store, short enough for a second try.
-const TRY_TIMEOUT: Duration = Duration::from_millis(1_400);
+/// Time-out of one attempt: long enough for a slow store, and short enough for a second attempt within the caller's
+/// wait.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// Pause before the next try.
-const TRY_PAUSE: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Wait of a caller that names none, in milliseconds.
-const WAIT_MS: u64 = 3_000;
+/// Default and maximum wait of a caller, in milliseconds.
+const MAX_WAIT_MS: u64 = 3_000;
 
-/// Part of a caller's wait that is left for the way back, in milliseconds.
-const WAY_BACK_MS: u64 = 150;
+/// Part of a caller's wait that is reserved for the delivery of the reply, in milliseconds.
+const REPLY_MARGIN_MS: u64 = 150;
 
-/// Shortest wait for the planner, in milliseconds: an append to the store and the way there and back.
-const LEAST_WAIT_MS: u64 = 60;
+/// Minimum wait for the planner, in milliseconds: an append to the store and a round trip to the planner.
+const MIN_PLANNER_WAIT_MS: u64 = 60;
 
-/// When callers come back to a system without a planner, in milliseconds: a takeover's time.
+/// Time after which callers should retry while there is no planner, in milliseconds: the time of a takeover.
 const TAKEOVER_RETRY_MS: u64 = 2_000;
 
 impl Entry {
-    /// Answers a caller and records how long it took.
+    /// Answers a caller and records the latency.
     pub(crate) async fn answer(self: Arc<Self>, call: Call) -> Answer {
         let began = Instant::now();
-        let answer = self.answer_plain(&call).await;
+        let answer = self.route(&call).await;
         let what = match call.method {
             Method::POST => "submit",
             Method::DELETE => "cancel",
@@ -47,7 +47,7 @@
         answer
     }
 
-    async fn answer_plain(&self, call: &Call) -> Answer {
+    async fn route(&self, call: &Call) -> Answer {
         let desired = self.desired.borrow().clone();
         if desired.version == 0 {
             return Answer::new(StatusCode::SERVICE_UNAVAILABLE).with_retry_after_ms(TAKEOVER_RETRY_MS);
@@ -64,14 +64,14 @@
         let job = &call.path[queue.path_prefix.len()..];
         match (&call.method, job) {
             (&Method::GET, "") => self.pending(queue, call).await,
-            (_, "") => refuse(StatusCode::METHOD_NOT_ALLOWED, "a job's name is needed"),
-            (_, job) if !is_job(job) => {
-                refuse(StatusCode::BAD_REQUEST, "a job's name has 16 hexadecimal digits")
+            (_, "") => refuse(StatusCode::METHOD_NOT_ALLOWED, "job name required"),
+            (_, job) if !is_job_name(job) => {
+                refuse(StatusCode::BAD_REQUEST, "job name must have 16 hexadecimal digits")
             }
             (&Method::POST, job) => self.submit(queue, &account, job, call).await,
             (&Method::GET, job) => self.state(job, call).await,
             (&Method::DELETE, job) => self.cancel(job, call).await,
-            _ => refuse(StatusCode::METHOD_NOT_ALLOWED, "not possible here"),
+            _ => refuse(StatusCode::METHOD_NOT_ALLOWED, "method not allowed"),
         }
     }
 
@@ -83,9 +83,9 @@
                 return refuse(StatusCode::BAD_REQUEST, &e.to_string());
             }
         };
-        match self.ask(Ask::Submit(sub), call).await {
-            Asked::Told(Told::Accepted) => Answer::new(StatusCode::OK).with_json(&json!({})),
-            Asked::Told(Told::Refused { why, retry_after_ms }) => {
+        match self.request_planner(PlannerRequest::Submit(sub), call).await {
+            RequestResult::Reply(Reply::Accepted) => Answer::new(StatusCode::OK).with_json(&json!({})),
+            RequestResult::Reply(Reply::Refused { why, retry_after_ms }) => {
                 refuse(StatusCode::TOO_MANY_REQUESTS, &why).with_retry_after_ms(retry_after_ms)
             }
             other => unanswered("submit", job, &other),
@@ -93,8 +93,8 @@
     }
 
     async fn state(&self, job: &str, call: &Call) -> Answer {
-        match self.ask(Ask::State(job.to_owned()), call).await {
-            Asked::Told(Told::State(Some(state))) => {
+        match self.request_planner(PlannerRequest::State(job.to_owned()), call).await {
+            RequestResult::Reply(Reply::State(Some(state))) => {
                 let text = match state {
                     JobState::Queued => "queued",
                     JobState::Running => "running",
@@ -104,90 +104,93 @@
                 };
                 Answer::new(StatusCode::OK).with_json(&json!({"state": text}))
             }
-            Asked::Told(Told::State(None)) => refuse(StatusCode::GONE, "no such job"),
+            RequestResult::Reply(Reply::State(None)) => refuse(StatusCode::GONE, "no such job"),
             other => unanswered("state", job, &other),
         }
     }
 
     async fn cancel(&self, job: &str, call: &Call) -> Answer {
-        match self.ask(Ask::Cancel(job.to_owned()), call).await {
-            Asked::Told(Told::Cancelled(true)) => Answer::new(StatusCode::OK).with_json(&json!({})),
-            Asked::Told(Told::Cancelled(false)) => refuse(StatusCode::GONE, "no such job"),
+        match self.request_planner(PlannerRequest::Cancel(job.to_owned()), call).await {
+            RequestResult::Reply(Reply::Cancelled(true)) => Answer::new(StatusCode::OK).with_json(&json!({})),
+            RequestResult::Reply(Reply::Cancelled(false)) => refuse(StatusCode::GONE, "no such job"),
             other => unanswered("cancel", job, &other),
         }
     }
 
     async fn pending(&self, queue: &Queue, call: &Call) -> Answer {
-        match self.ask(Ask::Pending(queue.name.clone()), call).await {
-            Asked::Told(Told::Pending(count)) => {
+        match self.request_planner(PlannerRequest::Pending(queue.name.clone()), call).await {
+            RequestResult::Reply(Reply::Pending(count)) => {
                 Answer::new(StatusCode::OK).with_json(&json!({"pending": count}))
             }
             other => unanswered("pending", &queue.name, &other),
         }
     }
 
-    /// Asks the planner until it answers or the caller's time is nearly up.
-    pub(crate) async fn ask(&self, ask: Ask, call: &Call) -> Asked {
+    /// Retries a request until the planner replies or the caller's wait, less the margin for the reply, has passed.
+    pub(crate) async fn request_planner(&self, request: PlannerRequest, call: &Call) -> RequestResult {
         let wait = Duration::from_millis(wait_for_planner_ms(call.wait_ms));
-        let until = tokio::time::Instant::now() + wait;
-        let mut delivered = false;
+        let deadline = tokio::time::Instant::now() + wait;
+        let mut unresolved = false;
         loop {
-            let left = until.saturating_duration_since(tokio::time::Instant::now());
-            if left.is_zero() {
-                return if delivered { Asked::Unresolved } else { Asked::NeverSent };
+            let remaining = deadline.saturating_duration_since(tokio::time::Instant::now());
+            if remaining.is_zero() {
+                return if unresolved { RequestResult::Unresolved } else { RequestResult::NeverSent };
             }
-            match self.try_once(ask.clone(), left.min(TRY_TIMEOUT)).await {
-                Asked::Told(Told::NotPlanner(holder)) => self.office.learn(holder),
-                Asked::Told(Told::Unresolved) | Asked::Unresolved => delivered = true,
-                Asked::NeverSent => (),
-                told => return told,
+            match self.request_once(request.clone(), remaining.min(ATTEMPT_TIMEOUT)).await {
+                RequestResult::Reply(Reply::NotPlanner(leader)) => self.leadership.update_leader(leader),
+                RequestResult::Reply(Reply::Unresolved) | RequestResult::Unresolved => unresolved = true,
+                RequestResult::NeverSent => (),
+                reply => return reply,
             }
-            tokio::time::sleep(TRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn try_once(&self, ask: Ask, wait: Duration) -> Asked {
-        if let Some(seat) = self.seat() {
-            return Asked::Told(seat.ask(ask, wait).await);
+    async fn request_once(&self, req: PlannerRequest, wait: Duration) -> RequestResult {
+        if let Some(active) = self.planner() {
+            return RequestResult::Reply(active.handle_request(req, wait).await);
         }
-        let Some(holder) = self.office.holder().filter(|holder| holder.life != self.me.life) else {
-            return Asked::NeverSent;
+        let Some(leader) =
+            self.leadership.leader().filter(|leader| leader.incarnation != self.me.incarnation)
+        else {
+            return RequestResult::NeverSent;
         };
         let wait_ms = wait.as_millis() as u64;
-        let told = call(&self.links, &holder.address, wait, async |rpc, cx| rpc.ask(cx, ask, wait_ms).await);
-        match told.await {
-            Ok(told) => Asked::Told(told),
+        let reply =
+            call(&self.pool, &leader.address, wait, async |rpc, cx| rpc.request(cx, req, wait_ms).await);
+        match reply.await {
+            Ok(reply) => RequestResult::Reply(reply),
             Err(CallError::Connect(e)) => {
-                log::debug!("event=planner_unreachable address={} cause=\"{e}\"", holder.address);
-                Asked::NeverSent
+                log::debug!("event=planner_unreachable address={} cause=\"{e}\"", leader.address);
+                RequestResult::NeverSent
             }
             Err(e) => {
-                log::debug!("event=planner_unanswered address={} cause=\"{e}\"", holder.address);
-                Asked::Unresolved
+                log::debug!("event=planner_unanswered address={} cause=\"{e}\"", leader.address);
+                RequestResult::Unresolved
             }
         }
     }
 }
 
-/// Returns how long the planner is waited for on behalf of a caller, in milliseconds. A caller in a hurry is tried all
-/// the same: the planner usually answers within a few milliseconds.
-pub fn wait_for_planner_ms(caller_waits_ms: Option<u64>) -> u64 {
-    let waits = caller_waits_ms.unwrap_or(WAIT_MS).min(WAIT_MS);
-    (waits - WAY_BACK_MS.min(waits / 4)).max(LEAST_WAIT_MS)
+/// Returns how long to wait for the planner on behalf of a caller, in milliseconds. The planner is called even for a
+/// very short wait, since it usually replies within a few milliseconds.
+pub fn wait_for_planner_ms(caller_wait_ms: Option<u64>) -> u64 {
+    let wait = caller_wait_ms.unwrap_or(MAX_WAIT_MS).min(MAX_WAIT_MS);
+    (wait - REPLY_MARGIN_MS.min(wait / 4)).max(MIN_PLANNER_WAIT_MS)
 }
 
-/// What became of a question to the planner.
+/// Result of a request to the planner.
 #[derive(Debug)]
-pub(crate) enum Asked {
-    /// The planner has answered.
-    Told(Told),
-    /// No planner was ever reached.
+pub(crate) enum RequestResult {
+    /// The planner has replied.
+    Reply(Reply),
+    /// The request never reached a planner, so it was not carried out.
     NeverSent,
-    /// The question may have been carried out.
+    /// The request may have been carried out.
     Unresolved,
 }
 
-fn is_job(name: &str) -> bool {
+fn is_job_name(name: &str) -> bool {
     name.len() == 16 && name.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
@@ -195,12 +198,12 @@
     Answer::new(status).with_json(&json!({"error": why}))
 }
 
-/// Answers a caller whose question has no answer: 503 only where certainly nothing was done.
-fn unanswered(what: &str, name: &str, asked: &Asked) -> Answer {
-    log::warn!("event=unanswered what={what} job={name} asked={asked:?}");
-    match asked {
-        Asked::NeverSent => refuse(StatusCode::SERVICE_UNAVAILABLE, "no planner is in reach")
+/// Answers a caller whose request got no usable reply: with 503 only if certainly nothing was done.
+fn unanswered(what: &str, name: &str, result: &RequestResult) -> Answer {
+    log::warn!("event=unanswered what={what} job={name} asked={result:?}");
+    match result {
+        RequestResult::NeverSent => refuse(StatusCode::SERVICE_UNAVAILABLE, "no planner reachable")
             .with_retry_after_ms(TAKEOVER_RETRY_MS),
-        _ => refuse(StatusCode::GATEWAY_TIMEOUT, "not known yet; ask again with the same name"),
+        _ => refuse(StatusCode::GATEWAY_TIMEOUT, "outcome not known yet; retry with the same job name"),
     }
 }
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between the project's own processes on the platform.
+//! Calls between entries, and from agents to entries.
 
 use std::io;
 use std::time::Duration;
@@ -13,106 +13,113 @@
 use tarpc::serde_transport;
 use tarpc::tokio_serde::formats::Bincode;
 
-/// The planner in office, as the store ordered it.
+/// An entry that leads, or led, by its claim in the store; epoch 0 for a process that has not claimed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holder {
-    /// Fencing token: rises with every planner and is never shared.
+pub struct Leader {
+    /// Fencing token: rises with every claim and is never used twice.
     pub epoch: u64,
-    /// Name of the planner's instance.
+    /// Name of the leader's instance.
     pub instance: String,
-    /// Address of the planner for calls.
+    /// Address of the leader for calls.
     pub address: String,
-    /// Random number of the process that holds the office.
-    pub life: u64,
+    /// Random number that identifies the process.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
-/// What an entry asks the planner on behalf of a caller.
+/// Request of an entry to the planner on behalf of a caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
-    /// To take in a job.
+pub enum PlannerRequest {
+    /// Submits a job.
     Submit(Submission),
-    /// The state of a job.
+    /// Reads the state of a job.
     State(String),
-    /// To cancel a job.
+    /// Cancels a job.
     Cancel(String),
-    /// The number of jobs of a queue that nothing has started of.
+    /// Counts the jobs of a queue that have not started.
     Pending(String),
-    /// What an operator wants to see.
-    Show(Query),
+    /// Reads a view for an operator.
+    #[serde(rename = "Show")]
+    View(Query),
 }
 
-/// The planner's answer.
+/// The planner's reply to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
-    /// The asked process does not plan; it may know who does.
-    NotPlanner(Option<Holder>),
+pub enum PlannerReply {
+    /// The called process does not plan; it may know the leader.
+    NotPlanner(Option<Leader>),
     /// The job is stored.
     Accepted,
-    /// The job is not accepted and never ran.
+    /// The job is not accepted and has not run.
     Refused {
-        /// Why.
+        /// Reason for the caller.
         why: String,
-        /// When to come back, in milliseconds.
+        /// Time after which the caller should retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// State of the job; `None` if no such job exists.
     State(Option<JobState>),
-    /// Whether such a job exists; if so, its cancelling is stored.
+    /// Whether such a job exists; if so, its cancellation is stored.
     Cancelled(bool),
-    /// Number of jobs.
+    /// Number of jobs that have not started.
     Pending(u64),
-    /// What the operator asked for, as JSON.
-    Shown(String),
-    /// The change could not be stored in time; it may be stored yet.
+    /// The view, as JSON.
+    #[serde(rename = "Shown")]
+    View(String),
+    /// The change was not confirmed in time; it may be stored already or later.
     Unresolved,
 }
 
-/// The planner's answer to an agent.
+/// Reply to an agent's report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Wish {
-    /// The asked process does not plan; it may know who does.
-    NotPlanner(Option<Holder>),
-    /// The planner's wish for the worker; `None` while it knows no worker of the agent.
-    Orders {
+pub enum ReportReply {
+    /// The called process does not plan; it may know the leader.
+    NotPlanner(Option<Leader>),
+    /// The planner's assignments for the worker.
+    #[serde(rename = "Orders")]
+    Assignments {
         /// Epoch of the planner.
         epoch: u64,
-        /// The wish.
-        orders: Option<Assignments>,
-        /// Addresses of the entries, to ask when the planner is silent.
+        /// The assignments; `None` while the planner knows no worker of the agent.
+        #[serde(rename = "orders")]
+        assignments: Option<Assignments>,
+        /// Addresses of the entries, which the agent asks for the leader when the planner does not answer.
         entries: Vec<String>,
     },
 }
 
-/// One entry's word to another.
+/// Update that an entry sends to another one, or an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ping {
-    /// Address of the sender.
+    /// Address of the sender; empty for an agent.
     pub address: String,
-    /// Planner that the sender knows.
-    pub holder: Option<Holder>,
-    /// Version of the desired state that the sender has.
+    /// Leader that the sender knows.
+    #[serde(rename = "holder")]
+    pub leader: Option<Leader>,
+    /// Version of the sender's desired state.
     pub version: u64,
 }
 
-/// The answer to a ping.
+/// Reply to a ping.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pong {
-    /// Planner that the asked entry knows.
-    pub holder: Option<Holder>,
-    /// Desired state as it lies in the store, if the sender's is older.
+    /// Leader that the called entry knows.
+    #[serde(rename = "holder")]
+    pub leader: Option<Leader>,
+    /// Desired state as stored, if the sender's is older.
     pub desired: Option<Vec<u8>>,
-    /// Addresses of the entries that the asked one knows.
+    /// Addresses of the entries that the called one knows, with its own.
     pub entries: Vec<String>,
 }
 
-/// The calls that an entry answers.
+/// Calls that an entry serves.
 #[tarpc::service]
 pub trait PlanRpc {
-    /// Takes an agent's report; the answer may wait until there is something to do.
-    async fn report(report: Report) -> Wish;
-    /// Answers on behalf of a caller, who waits for `wait_ms`.
-    async fn ask(ask: Ask, wait_ms: u64) -> Told;
-    /// Exchanges what two entries know.
+    /// Applies an agent's report; the reply may wait until the assignments change.
+    async fn report(report: Report) -> ReportReply;
+    /// Handles the request of a caller, who waits for `wait_ms`.
+    async fn request(req: PlannerRequest, wait_ms: u64) -> PlannerReply;
+    /// Exchanges the known leader, desired state and entries.
     async fn ping(ping: Ping) -> Pong;
 }
 
@@ -123,28 +130,28 @@
     }
 }
 
-/// Connections to entries.
-pub type Links = Pool<PlanRpcClient>;
+/// Pool of connections to entries.
+pub type EntryPool = Pool<PlanRpcClient>;
 
-/// Makes a call and gives the connection up when the answer is late: a connection may have gone silent for good.
+/// Makes a call, and discards the connection when the reply is late, since it may have failed without an error.
 ///
 /// # Errors
 ///
 /// Returns whether the call was never sent or may have been delivered.
 pub async fn call<T, F>(
-    links: &Links,
+    pool: &EntryPool,
     address: &str,
     timeout: Duration,
-    make: impl FnOnce(PlanRpcClient, tarpc::context::Context) -> F,
+    send: impl FnOnce(PlanRpcClient, tarpc::context::Context) -> F,
 ) -> Result<T, CallError>
 where
     F: Future<Output = Result<T, RpcError>>,
 {
     let cx = call_context(timeout);
-    let result = tokio::time::timeout(timeout, links.call(address, |client| make(client, cx))).await;
+    let result = tokio::time::timeout(timeout, pool.call(address, |client| send(client, cx))).await;
     match result {
         Ok(Err(CallError::Rpc(RpcError::DeadlineExceeded))) | Err(_) => {
-            links.discard(address);
+            pool.discard(address);
             Err(CallError::Rpc(RpcError::DeadlineExceeded))
         }
         Ok(result) => result,
--- /dev/null
+++ b/crates/control/src/election.rs
@@ -0,0 +1,319 @@
+//! Leader election among the entries: claims, renewals, and when another entry may claim the leadership.
+//!
+//! The store orders the claims: a claim is appended only if no other came first, and its offset gives the fencing
+//! token. Renewals have a topic of their own, so that they wake only entries, not agents.
+
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+use sorrelland_fleet::record::Record;
+use sorrelland_platform::Store;
+use sorrelland_platform::store::{Error, keyed};
+use tokio::sync::watch;
+
+use crate::calls::Leader;
+use crate::clock::now_ms;
+
+/// Topic of the claims to the leadership.
+pub const CLAIMS: &str = "keyed.duty";
+
+/// Topic of the leader's renewals.
+pub const RENEWALS: &str = "renewals";
+
+/// Key of the newest claim.
+const KEY: &str = "planner";
+
+/// Time between two renewals.
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(600);
+
+/// Time without a renewal in the store after which the leadership may be claimed, in milliseconds: three renewal
+/// intervals.
+pub const LEADER_TIMEOUT_MS: u64 = 1_800;
+
+/// Time without a renewal after which the leadership may be claimed if the leader's address also refuses connections,
+/// in milliseconds: a live leader renews within this time.
+pub const REFUSING_LEADER_TIMEOUT_MS: u64 = 900;
+
+/// Maximum time for which a planner goes on while the store is unreachable, in milliseconds. A new planner waits until
+/// the grants that such a planner may have given have ended.
+pub const MAX_STORE_OUTAGE_MS: u64 = 6_000;
+
+/// Maximum wait of one read of the renewals.
+const READ_WAIT: Duration = Duration::from_millis(700);
+
+/// Maximum wait of one read of the renewals while the leader refuses connections.
+const REFUSING_READ_WAIT: Duration = Duration::from_millis(200);
+
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+
+/// Attempts to find out whether a claim without an answer was stored.
+const MAX_RESOLVE_ATTEMPTS: u32 = 10;
+
+#[derive(Serialize, Deserialize)]
+struct Claim {
+    instance: String,
+    address: String,
+    #[serde(rename = "life")]
+    incarnation: u64,
+}
+
+#[derive(Serialize, Deserialize)]
+struct Renewal {
+    epoch: u64,
+    #[serde(rename = "resigns")]
+    stepping_down: bool,
+}
+
+/// What a process knows about the leadership.
+#[derive(Clone, Debug)]
+pub struct Leadership {
+    tx: watch::Sender<Option<Leader>>,
+    /// Highest epoch whose leader's address has refused a connection.
+    refused: Arc<AtomicU64>,
+}
+
+impl Default for Leadership {
+    fn default() -> Self {
+        Self { tx: watch::Sender::new(None), refused: Arc::default() }
+    }
+}
+
+impl Leadership {
+    /// Returns the known leader with the highest epoch.
+    pub fn leader(&self) -> Option<Leader> {
+        self.tx.borrow().clone()
+    }
+
+    /// Returns the highest known epoch; 0 if no leader is known.
+    pub fn epoch(&self) -> u64 {
+        self.tx.borrow().as_ref().map_or(0, |leader| leader.epoch)
+    }
+
+    /// Records a leader, unless one with the same or a higher epoch is known.
+    pub fn update_leader(&self, leader: Option<Leader>) {
+        let Some(leader) = leader else { return };
+        self.tx.send_if_modified(|known| {
+            let newer = known.as_ref().is_none_or(|known| known.epoch < leader.epoch);
+            if newer {
+                log::info!(
+                    "event=planner_known epoch={} instance={} address={}",
+                    leader.epoch,
+                    leader.instance,
+                    leader.address
+                );
+                *known = Some(leader);
+            }
+            newer
+        });
+    }
+
+    /// Returns whether the leader is a previous incarnation of `me`: an earlier process on the same instance and
+    /// address, which has ended.
+    pub fn is_previous_incarnation_of(&self, me: &Leader) -> bool {
+        let same = |leader: &Leader| leader.instance == me.instance && leader.address == me.address;
+        self.tx.borrow().as_ref().is_some_and(|leader| same(leader) && leader.incarnation != me.incarnation)
+    }
+
+    /// Records that the address of the leader of `epoch` refuses connections.
+    pub fn record_refused(&self, epoch: u64) {
+        self.refused.fetch_max(epoch, Ordering::Relaxed);
+    }
+
+    /// Records that the leader of `epoch` has answered: an intermediary had refused the connection.
+    pub fn record_answered(&self, epoch: u64) {
+        // A refusal by the leader of another epoch, recorded in the meantime, stays.
+        let _ = self.refused.compare_exchange(epoch, 0, Ordering::Relaxed, Ordering::Relaxed);
+    }
+
+    /// Returns whether the leader's address refuses connections.
+    pub fn is_refusing(&self) -> bool {
+        let epoch = self.epoch();
+        epoch > 0 && self.refused.load(Ordering::Relaxed) >= epoch
+    }
+
+    /// Applies a claim from the store.
+    pub fn apply_claim(&self, key: &str, value: &[u8], offset: u64) {
+        if key != KEY {
+            return;
+        }
+        match serde_json::from_slice::<Claim>(value) {
+            Ok(Claim { instance, address, incarnation }) => {
+                self.update_leader(Some(Leader { epoch: offset + 1, instance, address, incarnation }));
+            }
+            Err(e) => log::warn!("event=record_skipped topic={CLAIMS} offset={offset} cause=\"{e}\""),
+        }
+    }
+
+    /// Returns a receiver of every new leader.
+    pub fn subscribe(&self) -> watch::Receiver<Option<Leader>> {
+        self.tx.subscribe()
+    }
+}
+
+/// Tracks reads of the renewals to decide whether the leadership may be claimed.
+#[derive(Clone, Debug, Default)]
+pub struct LeaderTimeout {
+    /// Time since which every read has succeeded and shown no renewal.
+    since: Option<u64>,
+    stepped_down: bool,
+}
+
+impl LeaderTimeout {
+    /// Records a failed read. It restarts the time without renewals, since the leader may have renewed unseen.
+    pub fn record_read_failure(&mut self) {
+        self.since = None;
+    }
+
+    /// Records a read that began at `began` and showed no renewal.
+    pub fn record_no_renewal(&mut self, began: u64) {
+        self.since.get_or_insert(began);
+    }
+
+    /// Records a renewal that was read at `now`.
+    pub fn record_renewal(&mut self, now: u64) {
+        *self = Self { since: Some(now), stepped_down: false };
+    }
+
+    pub fn record_step_down(&mut self) {
+        self.stepped_down = true;
+    }
+
+    /// Returns whether the leadership may be claimed: the leader has stepped down, or has not renewed for the time-out
+    /// and a further `wait_ms`. The time-out is shorter for a leader that refuses connections.
+    pub fn has_expired(&self, now: u64, is_refusing: bool, wait_ms: u64) -> bool {
+        let needed = if is_refusing { REFUSING_LEADER_TIMEOUT_MS } else { LEADER_TIMEOUT_MS };
+        self.stepped_down || self.since.is_some_and(|since| now >= since + needed + wait_ms)
+    }
+}
+
+/// Follows the renewals until `me` may claim the leadership, and returns the epoch of the leader to supersede.
+/// `claim_delay_ms` differs between entries, so that they don't all claim at once.
+pub async fn wait_until_claimable(
+    store: &Store,
+    leadership: &Leadership,
+    me: &Leader,
+    claim_delay_ms: u64,
+) -> u64 {
+    let mut leader_timeout = LeaderTimeout::default();
+    let mut leader_changes = leadership.subscribe();
+    let mut from = 0;
+    let mut epoch = leadership.epoch();
+    let mut no_leader_since = None;
+    loop {
+        if leadership.is_previous_incarnation_of(me) {
+            return leadership.epoch();
+        }
+        let began = now_ms();
+        let wait = if leadership.is_refusing() { REFUSING_READ_WAIT } else { READ_WAIT };
+        let read = tokio::select! {
+            read = store.read(RENEWALS, from, wait) => read,
+            // The sender exists as long as `leadership`.
+            Ok(()) = leader_changes.changed() => continue,
+        };
+        match read {
+            Ok(read) => {
+                let renewals =
+                    read.records.iter().filter_map(|raw| serde_json::from_slice::<Renewal>(raw).ok());
+                let current: Vec<Renewal> =
+                    renewals.filter(|renewal| renewal.epoch >= leadership.epoch()).collect();
+                match current.last() {
+                    Some(last) if last.stepping_down => leader_timeout.record_step_down(),
+                    Some(_) => leader_timeout.record_renewal(now_ms()),
+                    None => leader_timeout.record_no_renewal(began),
+                }
+                from = read.next.max(from);
+            }
+            Err(Error::Compacted { first }) => from = first,
+            Err(Error::Refused { status }) if status == http::StatusCode::NOT_FOUND => {
+                leader_timeout.record_no_renewal(began)
+            }
+            Err(e) => {
+                log::debug!("event=renewals_unread cause=\"{e}\"");
+                leader_timeout.record_read_failure();
+                tokio::time::sleep(RETRY_DELAY).await;
+            }
+        }
+        if leadership.epoch() != epoch {
+            epoch = leadership.epoch();
+            leader_timeout.record_renewal(now_ms());
+        }
+        // Before the first claim no leader's time-out has to pass.
+        if epoch == 0 && leader_timeout.since.is_some() {
+            no_leader_since.get_or_insert(now_ms());
+        }
+        let unclaimed = epoch == 0 && no_leader_since.is_some_and(|since| now_ms() >= since + claim_delay_ms);
+        if unclaimed || leader_timeout.has_expired(now_ms(), leadership.is_refusing(), claim_delay_ms) {
+            return epoch;
+        }
+    }
+}
+
+/// Claims the leadership; returns the leader if it is now this process. Appends no claim if another one came after
+/// `epoch`, whose leader has timed out.
+pub async fn claim(store: &Store, leadership: &Leadership, me: &Leader, epoch: u64) -> Option<Leader> {
+    let end = match store.newest(CLAIMS).await {
+        Ok((items, end)) => {
+            for item in &items {
+                leadership.apply_claim(&item.key, &item.value, item.offset);
+            }
+            end
+        }
+        Err(e) => {
+            log::warn!("event=claim_failed cause=\"{e}\"");
+            return None;
+        }
+    };
+    if leadership.epoch() != epoch {
+        return None;
+    }
+    let claim =
+        Claim { instance: me.instance.clone(), address: me.address.clone(), incarnation: me.incarnation };
+    let value = serde_json::to_vec(&claim).ok()?;
+    let record = keyed(&Record { key: KEY.to_owned(), value });
+    let mine = Leader { epoch: end + 1, ..me.clone() };
+    match store.append(CLAIMS, &[record], Some(end)).await {
+        Ok(offset) => {
+            let mine = Leader { epoch: offset + 1, ..mine };
+            leadership.update_leader(Some(mine.clone()));
+            Some(mine)
+        }
+        Err(e) if e.nothing_done() => {
+            log::info!("event=claim_refused cause=\"{e}\"");
+            None
+        }
+        Err(e) => {
+            log::warn!("event=claim_unanswered cause=\"{e}\"");
+            resolve(store, leadership, &mine).await
+        }
+    }
+}
+
+/// Finds out whether a claim without an answer was stored. A claim that is not in the store yet may still be stored
+/// later: the follower of the claims then finds it, and no process leads under it until another claim supersedes it.
+async fn resolve(store: &Store, leadership: &Leadership, mine: &Leader) -> Option<Leader> {
+    for _ in 0..MAX_RESOLVE_ATTEMPTS {
+        tokio::time::sleep(RETRY_DELAY).await;
+        if let Ok((items, end)) = store.newest(CLAIMS).await {
+            for item in &items {
+                leadership.apply_claim(&item.key, &item.value, item.offset);
+            }
+            if end >= mine.epoch {
+                return leadership.leader().filter(|leader| leader.incarnation == mine.incarnation);
+            }
+        }
+    }
+    None
+}
+
+/// Renews the leadership, or gives it up if `stepping_down`.
+///
+/// # Errors
+///
+/// Returns why the store did not confirm the renewal.
+pub async fn renew(store: &Store, epoch: u64, stepping_down: bool) -> sorrelland_platform::store::Result<()> {
+    let renewal =
+        serde_json::to_vec(&Renewal { epoch, stepping_down }).map_err(|e| Error::Malformed(e.to_string()))?;
+    store.append(RENEWALS, &[renewal], None).await.map(|_| ())
+}
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: answers callers, and plans when it holds the office.
+//! An entry: answers callers, and plans while it is the leader.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -18,64 +18,66 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::calls::{Ask, Holder, Links, Ping, PlanRpc, Pong, Told, Wish, call};
+use crate::active_planner::ActivePlanner;
+use crate::calls::{
+    EntryPool, Leader, Ping, PlanRpc, PlannerReply as Reply, PlannerRequest, Pong, ReportReply, call,
+};
 use crate::clock::now_ms;
-use crate::duty::{self, ALONE_MS, CLAIMS, Office};
-use crate::seat::Seat;
+use crate::election::{self, CLAIMS, Leadership, MAX_STORE_OUTAGE_MS};
 use crate::signals::{self, stopped};
 use crate::{Error, Result, follow, lock, metrics, reload};
 
 /// Topic and key of the desired state.
 const DESIRED: (&str, &str) = ("keyed.op", "config");
 
-/// Wait of a read of the desired state or the claims. With the slack of a read it stays below the 2 s within which a
-/// desired state has to be in force, so that a connection that has gone silent does not break the bound.
+/// Maximum wait of a read of the desired state or the claims. With the slack of a read it stays below the 2 s within
+/// which a new desired state must be in force, even if a connection has failed without an error.
 const FOLLOW_WAIT: Duration = Duration::from_millis(800);
 
-/// Share of the platform's longest lease that a grant covers, in percent; the rest is for clocks and stops.
+/// Share of the platform's maximum lease that a grant covers, in percent. The rest allows for clock differences and
+/// for stopping runs.
 const GRANT_PERCENT: u64 = 80;
 
-/// Longest grant, in milliseconds: what a lost machine held is started elsewhere soon after it.
-const GRANT_MOST_MS: u64 = 5_000;
+/// Maximum grant, in milliseconds. The runs of a lost instance are started elsewhere soon after its grant ends.
+const MAX_GRANT_MS: u64 = 5_000;
 
-/// Time between two pings to the planner.
-const PING_EVERY: Duration = Duration::from_millis(500);
+/// Time between two pings to the leader.
+const PING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause after a ping of the planner that failed: a second try tells a lost connection from a lost process.
-const PING_AGAIN: Duration = Duration::from_millis(100);
+/// Delay after a failed ping to the leader: a second attempt tells a lost connection from a lost process.
+const PING_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Time for a ping.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Silence of the planner after which this entry is not ready for new callers, in milliseconds.
-const READY_WITHIN_MS: u64 = 2_500;
+/// Time after the leader's last reply to a ping from which this entry is not ready for new callers, in milliseconds.
+const READINESS_TIMEOUT_MS: u64 = 2_500;
 
-/// Pause before the next claim of an entry that may not claim yet.
-const CLAIM_PAUSE: Duration = Duration::from_millis(60);
+/// Delay after which an entry that is stopping or lacks the desired state checks again whether it may claim.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Longest time by which entries spread their claims, in milliseconds.
-const RANK_MOST_MS: u64 = 300;
+/// Upper bound of the delays that spread the claims of the entries, in milliseconds.
+const MAX_CLAIM_DELAY_MS: u64 = 300;
 
-/// Time for which an entry that was heard counts as there, in milliseconds.
-const ENTRY_HEARD_MS: u64 = 5_000;
+/// Time for which an entry counts as live after its last ping, or its first report by another entry, in milliseconds.
+const ENTRY_EXPIRY_MS: u64 = 5_000;
 
-/// Time that calls get to end after the servers were told to close.
-const CLOSE_TIMEOUT: Duration = Duration::from_millis(4_500);
+/// Maximum time for open calls and the step-down when the process stops.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 /// An entry's state.
 pub(crate) struct Entry {
     settings: Settings,
-    pub(crate) me: Holder,
-    pub(crate) office: Office,
-    pub(crate) links: Links,
+    pub(crate) me: Leader,
+    pub(crate) leadership: Leadership,
+    pub(crate) pool: EntryPool,
     pub(crate) desired: watch::Sender<Arc<Desired>>,
-    /// The desired state as it lies in the store, for entries that the store turns away.
+    /// The desired state as stored, for entries that cannot reach the store.
     raw_desired: Mutex<Vec<u8>>,
-    seat: Mutex<Option<Arc<Seat>>>,
-    /// Addresses of entries with the time they were last heard.
+    active_planner: Mutex<Option<Arc<ActivePlanner>>>,
+    /// Addresses of entries, with the time of their last ping or first report by another entry.
     entries: Mutex<BTreeMap<String, u64>>,
-    planner_heard: Mutex<u64>,
-    leaving: watch::Sender<bool>,
+    planner_replied_at: Mutex<u64>,
+    stopping: watch::Sender<bool>,
 }
 
 /// Runs an entry until it is asked to stop.
@@ -91,18 +93,18 @@
     let store = Store::new(&settings.store);
     let address = settings.peer_address();
     let listener = TcpListener::bind(&address).await?;
-    let me = Holder { epoch: 0, instance: settings.instance.clone(), address, life: rand::random() };
+    let me = Leader { epoch: 0, instance: settings.instance.clone(), address, incarnation: rand::random() };
     let entry = Arc::new(Entry {
-        links: Links::new(&settings.store),
+        pool: EntryPool::new(&settings.store),
         settings,
         me,
-        office: Office::default(),
+        leadership: Leadership::default(),
         desired: watch::Sender::new(Arc::default()),
         raw_desired: Mutex::default(),
-        seat: Mutex::default(),
+        active_planner: Mutex::default(),
         entries: Mutex::default(),
-        planner_heard: Mutex::default(),
-        leaving: watch::Sender::new(false),
+        planner_replied_at: Mutex::default(),
+        stopping: watch::Sender::new(false),
     });
     let operators = entry.clone();
     let show = Arc::new(move |call| operators.clone().show(call).boxed());
@@ -121,25 +123,25 @@
         let entry = entry.clone();
         serve::start(callers, Arc::new(move |call| entry.clone().answer(call).boxed()))?
     };
-    log::info!("event=started role=entry instance={} life={}", entry.me.instance, entry.me.life);
+    log::info!("event=started role=entry instance={} life={}", entry.me.instance, entry.me.incarnation);
     tokio::spawn(entry.clone().serve_peers(listener));
     tokio::spawn(entry.clone().follow_desired(store.clone()));
     tokio::spawn(entry.clone().follow_claims(store.clone()));
     tokio::spawn(entry.clone().run_pings());
-    tokio::spawn(entry.clone().run_office(store.clone()));
+    tokio::spawn(entry.clone().run_leadership(store.clone()));
     stopped(asked).await;
     log::info!("event=stopping role=entry instance={}", entry.me.instance);
-    entry.leaving.send_replace(true);
+    entry.stopping.send_replace(true);
     let closing = async {
         if let Err(e) = server.close().await {
             log::warn!("event=server_failed cause=\"{e}\"");
         }
-        entry.resign(&store).await;
+        entry.release_leadership(&store).await;
         if let Err(e) = ready.close().await {
             log::warn!("event=server_failed cause=\"{e}\"");
         }
     };
-    if tokio::time::timeout(CLOSE_TIMEOUT, closing).await.is_err() {
+    if tokio::time::timeout(SHUTDOWN_TIMEOUT, closing).await.is_err() {
         log::warn!("event=close_cut_short");
     }
     log::info!("event=stopped role=entry instance={}", entry.me.instance);
@@ -162,33 +164,37 @@
 struct Service(Arc<Entry>);
 
 impl PlanRpc for Service {
-    async fn report(self, _: Context, report: sorrelland_fleet::report::Report) -> Wish {
+    async fn report(self, _: Context, report: sorrelland_fleet::report::Report) -> ReportReply {
         let entry = self.0;
-        let Some(seat) = entry.seat() else { return Wish::NotPlanner(entry.office.holder()) };
-        match seat.report(report).await {
-            Some(orders) => Wish::Orders { epoch: seat.holder.epoch, orders, entries: entry.known_entries() },
-            None => Wish::NotPlanner(entry.office.holder()),
+        let Some(active) = entry.planner() else { return ReportReply::NotPlanner(entry.leadership.leader()) };
+        match active.report(report).await {
+            Some(assignments) => ReportReply::Assignments {
+                epoch: active.leader.epoch,
+                assignments,
+                entries: entry.known_entries(),
+            },
+            None => ReportReply::NotPlanner(entry.leadership.leader()),
         }
     }
 
-    async fn ask(self, _: Context, ask: Ask, wait_ms: u64) -> Told {
+    async fn request(self, _: Context, req: PlannerRequest, wait_ms: u64) -> Reply {
         let entry = self.0;
-        let Some(seat) = entry.seat() else { return Told::NotPlanner(entry.office.holder()) };
-        match seat.ask(ask, Duration::from_millis(wait_ms)).await {
-            Told::NotPlanner(None) => Told::NotPlanner(entry.office.holder()),
-            told => told,
+        let Some(active) = entry.planner() else { return Reply::NotPlanner(entry.leadership.leader()) };
+        match active.handle_request(req, Duration::from_millis(wait_ms)).await {
+            Reply::NotPlanner(None) => Reply::NotPlanner(entry.leadership.leader()),
+            reply => reply,
         }
     }
 
     async fn ping(self, _: Context, ping: Ping) -> Pong {
         let entry = self.0;
-        entry.office.learn(ping.holder);
+        entry.leadership.update_leader(ping.leader);
         if !ping.address.is_empty() {
             lock(&entry.entries).insert(ping.address, now_ms());
         }
         let newer = entry.desired.borrow().version > ping.version;
         Pong {
-            holder: entry.office.holder(),
+            leader: entry.leadership.leader(),
             desired: newer.then(|| lock(&entry.raw_desired).clone()),
             entries: entry.known_entries(),
         }
@@ -205,34 +211,35 @@
         .await;
     }
 
-    /// Returns the office's seat if this entry plans.
-    pub(crate) fn seat(&self) -> Option<Arc<Seat>> {
-        lock(&self.seat).clone().filter(|seat| !seat.is_over())
+    /// Returns the active planner if this entry leads.
+    pub(crate) fn planner(&self) -> Option<Arc<ActivePlanner>> {
+        lock(&self.active_planner).clone().filter(|active| !active.has_stepped_down())
     }
 
     fn known_entries(&self) -> Vec<String> {
-        let after = now_ms().saturating_sub(ENTRY_HEARD_MS);
+        let after = now_ms().saturating_sub(ENTRY_EXPIRY_MS);
         let entries = lock(&self.entries);
-        let heard = entries.iter().filter(|(_, at)| **at >= after).map(|(address, _)| address.clone());
-        heard.chain([self.me.address.clone()]).collect()
+        let live = entries.iter().filter(|(_, at)| **at >= after).map(|(address, _)| address.clone());
+        live.chain([self.me.address.clone()]).collect()
     }
 
     fn is_ready(&self) -> bool {
-        let planned = self.seat().is_some() || now_ms() <= *lock(&self.planner_heard) + READY_WITHIN_MS;
-        planned && self.desired.borrow().version > 0 && !*self.leaving.borrow()
+        let has_planner =
+            self.planner().is_some() || now_ms() <= *lock(&self.planner_replied_at) + READINESS_TIMEOUT_MS;
+        has_planner && self.desired.borrow().version > 0 && !*self.stopping.borrow()
     }
 
     async fn follow_desired(self: Arc<Self>, store: Store) {
-        let take = |key: &str, value: &[u8], offset: u64| {
+        let apply = |key: &str, value: &[u8], offset: u64| {
             if key == DESIRED.1 {
-                self.take_desired(value, &format!("offset {offset}"));
+                self.apply_desired(value, &format!("offset {offset}"));
             }
         };
-        follow::follow(&store, DESIRED.0, FOLLOW_WAIT, take).await;
+        follow::follow(&store, DESIRED.0, FOLLOW_WAIT, apply).await;
     }
 
-    /// Takes in a desired state; an older one, or one that can't be read, is left out.
-    fn take_desired(&self, value: &[u8], from: &str) {
+    /// Applies a desired state, unless it is malformed or not newer than the current one.
+    fn apply_desired(&self, value: &[u8], from: &str) {
         let (desired, findings) = match desired::decode(value) {
             Ok(decoded) => decoded,
             Err(e) => return log::warn!("event=desired_skipped from=\"{from}\" cause=\"{e}\""),
@@ -241,14 +248,14 @@
             log::warn!("event=desired_entry_skipped version={} cause=\"{finding}\"", desired.version);
         }
         let desired = Arc::new(desired);
-        let taken = self.desired.send_if_modified(|known| {
+        let applied = self.desired.send_if_modified(|known| {
             let newer = known.version < desired.version;
             if newer {
                 *known = desired.clone();
             }
             newer
         });
-        if taken {
+        if applied {
             *lock(&self.raw_desired) = value.to_vec();
             metrics::level("desired_version", desired.version);
             log::info!(
@@ -257,42 +264,42 @@
                 desired.queues.len(),
                 desired.accounts.len()
             );
-            if let Some(seat) = self.seat() {
-                seat.set_desired(desired);
+            if let Some(active) = self.planner() {
+                active.set_desired(desired);
             }
         }
     }
 
     async fn follow_claims(self: Arc<Self>, store: Store) {
-        let take = |key: &str, value: &[u8], offset: u64| self.office.take(key, value, offset);
-        follow::follow(&store, CLAIMS, FOLLOW_WAIT, take).await;
+        let apply = |key: &str, value: &[u8], offset: u64| self.leadership.apply_claim(key, value, offset);
+        follow::follow(&store, CLAIMS, FOLLOW_WAIT, apply).await;
     }
 
     async fn run_pings(self: Arc<Self>) {
-        let mut pause = PING_EVERY;
+        let mut delay = PING_INTERVAL;
         loop {
-            tokio::time::sleep(pause).await;
-            pause = PING_EVERY;
-            let planner = self.office.holder().filter(|holder| holder.life != self.me.life);
-            if let Some(holder) = planner
-                && !self.ping(&holder.address, Some(holder.epoch)).await
+            tokio::time::sleep(delay).await;
+            delay = PING_INTERVAL;
+            let planner = self.leadership.leader().filter(|leader| leader.incarnation != self.me.incarnation);
+            if let Some(leader) = planner
+                && !self.ping(&leader.address, Some(leader.epoch)).await
             {
-                pause = PING_AGAIN;
+                delay = PING_RETRY_DELAY;
             }
         }
     }
 
-    /// Exchanges what is known with another entry; `planner` is its epoch if it holds the office. Returns whether it
-    /// answered.
+    /// Exchanges the known leader, desired state and entries with another entry; `planner` is its epoch if it leads.
+    /// Returns whether it replied.
     async fn ping(&self, address: &str, planner: Option<u64>) -> bool {
         let version = self.desired.borrow().version;
-        let ping = Ping { address: self.me.address.clone(), holder: self.office.holder(), version };
-        let pong = call(&self.links, address, PING_TIMEOUT, async |rpc, cx| rpc.ping(cx, ping).await).await;
+        let ping = Ping { address: self.me.address.clone(), leader: self.leadership.leader(), version };
+        let pong = call(&self.pool, address, PING_TIMEOUT, async |rpc, cx| rpc.ping(cx, ping).await).await;
         match pong {
             Ok(pong) => {
                 if let Some(epoch) = planner {
-                    self.office.note_answered(epoch);
-                    *lock(&self.planner_heard) = now_ms();
+                    self.leadership.record_answered(epoch);
+                    *lock(&self.planner_replied_at) = now_ms();
                 }
                 let now = now_ms();
                 let others = pong.entries.into_iter().filter(|entry| *entry != self.me.address);
@@ -301,9 +308,9 @@
                     entries.entry(entry).or_insert(now);
                 }
                 drop(entries);
-                self.office.learn(pong.holder);
+                self.leadership.update_leader(pong.leader);
                 if let Some(raw) = pong.desired {
-                    self.take_desired(&raw, address);
+                    self.apply_desired(&raw, address);
                 }
                 true
             }
@@ -312,85 +319,91 @@
                 if let (Some(epoch), CallError::Connect(e)) = (planner, &e)
                     && e.kind() == io::ErrorKind::ConnectionRefused
                 {
-                    self.office.note_refused(epoch);
+                    self.leadership.record_refused(epoch);
                 }
                 false
             }
         }
     }
 
-    /// Claims the office whenever it is vacant, and sits in it.
-    async fn run_office(self: Arc<Self>, store: Store) {
+    /// Claims the leadership whenever it may be claimed, and runs the planner until the leadership ends.
+    async fn run_leadership(self: Arc<Self>, store: Store) {
         let mut hasher = DefaultHasher::new();
         self.me.instance.hash(&mut hasher);
-        let rank_ms = hasher.finish() % RANK_MOST_MS;
-        let mut sat = 0;
+        let claim_delay_ms = hasher.finish() % MAX_CLAIM_DELAY_MS;
+        let mut last_epoch = 0;
         loop {
-            let mine =
-                self.office.holder().filter(|holder| holder.life == self.me.life && holder.epoch > sat);
-            let holder = match mine {
-                Some(holder) => Some(holder),
+            let own_claim = self
+                .leadership
+                .leader()
+                .filter(|leader| leader.incarnation == self.me.incarnation && leader.epoch > last_epoch);
+            let leader = match own_claim {
+                Some(leader) => Some(leader),
                 None => {
-                    let silent = duty::wait_for_silence(&store, &self.office, &self.me, rank_ms).await;
-                    if *self.leaving.borrow() || self.desired.borrow().version == 0 {
-                        tokio::time::sleep(CLAIM_PAUSE).await;
+                    let expired_epoch =
+                        election::wait_until_claimable(&store, &self.leadership, &self.me, claim_delay_ms)
+                            .await;
+                    if *self.stopping.borrow() || self.desired.borrow().version == 0 {
+                        tokio::time::sleep(CLAIM_RETRY_DELAY).await;
                         continue;
                     }
-                    duty::claim(&store, &self.office, &self.me, silent).await
+                    election::claim(&store, &self.leadership, &self.me, expired_epoch).await
                 }
             };
-            let Some(holder) = holder else { continue };
-            sat = holder.epoch;
+            let Some(leader) = leader else { continue };
+            last_epoch = leader.epoch;
             let desired = self.desired.borrow().clone();
             let policy = self.settings.policy.as_deref().map(Policy::new);
-            let Some(seat) = Seat::take(&store, policy, holder, self.timing(), desired).await else {
+            let Some(active) = ActivePlanner::start(&store, policy, leader, self.timing(), desired).await
+            else {
                 continue;
             };
-            *lock(&self.seat) = Some(seat.clone());
-            // A version that came while the jobs were read.
-            seat.set_desired(self.desired.borrow().clone());
-            self.tell_entries().await;
-            self.sit(&seat).await;
-            *lock(&self.seat) = None;
+            *lock(&self.active_planner) = Some(active.clone());
+            // A newer version may have arrived while the jobs were read.
+            active.set_desired(self.desired.borrow().clone());
+            self.notify_entries().await;
+            self.wait_for_end_of_leadership(&active).await;
+            *lock(&self.active_planner) = None;
         }
     }
 
-    /// Tells the other entries who plans now, so that even those that the store turns away know.
-    async fn tell_entries(&self) {
+    /// Pings the other entries, so that those that cannot reach the store learn of the new leader as well.
+    async fn notify_entries(&self) {
         let entries: Vec<String> = lock(&self.entries).keys().cloned().collect();
         futures::future::join_all(entries.iter().map(|address| self.ping(address, None))).await;
     }
 
-    /// Waits until the office is over, or a holder with a higher epoch is heard of.
-    async fn sit(&self, seat: &Seat) {
-        let mut holders = self.office.subscribe();
-        let epoch = seat.holder.epoch;
-        let newer = holders.wait_for(|holder| holder.as_ref().is_some_and(|holder| holder.epoch > epoch));
+    /// Waits until the planner steps down, and makes it step down once a leader with a higher epoch is known.
+    async fn wait_for_end_of_leadership(&self, active: &ActivePlanner) {
+        let mut leader_changes = self.leadership.subscribe();
+        let epoch = active.leader.epoch;
+        let newer =
+            leader_changes.wait_for(|leader| leader.as_ref().is_some_and(|leader| leader.epoch > epoch));
         let superseded = tokio::select! {
             superseded = newer => superseded.is_ok(),
-            () = seat.ended() => false,
+            () = active.wait_for_step_down() => false,
         };
         if superseded {
-            seat.end("superseded");
+            active.step_down("superseded");
         }
     }
 
     fn timing(&self) -> Timing {
         let bounds = self.settings.bounds;
-        let grant_ms = (bounds.longest_lease_ms * GRANT_PERCENT / 100).min(GRANT_MOST_MS);
+        let grant_ms = (bounds.longest_lease_ms * GRANT_PERCENT / 100).min(MAX_GRANT_MS);
         Timing {
             grant_ms,
             stop_ms: bounds.stop_ms,
-            unreported_ms: ALONE_MS + grant_ms + grant_ms / 50 + bounds.stop_ms,
+            unreported_ms: MAX_STORE_OUTAGE_MS + grant_ms + grant_ms / 50 + bounds.stop_ms,
             ended_retention_ms: 2 * bounds.keep_ended_ms,
             reclaim_ms: bounds.reclaim_ms,
         }
     }
 
-    async fn resign(&self, store: &Store) {
-        let Some(seat) = self.seat() else { return };
-        seat.end("the process is stopping");
-        if let Err(e) = duty::renew(store, seat.holder.epoch, true).await {
+    async fn release_leadership(&self, store: &Store) {
+        let Some(active) = self.planner() else { return };
+        active.step_down("the process is stopping");
+        if let Err(e) = election::renew(store, active.leader.epoch, true).await {
             log::warn!("event=resign_failed cause=\"{e}\"");
         }
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,11 +1,13 @@
-//! The processes that run on the users' platform: entries, one of which plans, and agents beside the workers.
+//! The processes of the scheduler on a platform: entries, one of which is the leader and plans, and an agent beside
+//! each worker.
 
+pub mod active_planner;
 pub mod adaptive_timeout;
 pub mod agent;
 pub mod callers;
 pub mod calls;
 pub mod clock;
-pub mod duty;
+pub mod election;
 pub mod entry;
 pub mod follow;
 pub mod lease;
@@ -13,7 +15,6 @@
 pub mod metrics;
 pub mod operators;
 pub mod reload;
-pub mod seat;
 pub mod signals;
 mod stored;
 
@@ -28,7 +29,7 @@
 /// Why a process could not run.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// An address could not be used.
+    /// An address could not be bound.
     #[display("cannot listen: {_0}")]
     Listen(io::Error),
     /// A server could not be started.
@@ -40,7 +41,8 @@
     Missing(#[error(not(source))] &'static str),
 }
 
-/// Locks a mutex; a panic elsewhere does not spread, since every section leaves the state whole.
+/// Locks a mutex, ignoring poisoning: every critical section leaves the state consistent, so a panic elsewhere does not
+/// have to spread.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -6,8 +6,8 @@
 use sorrelland_fleet::view::Query;
 use sorrelland_platform::serve::{Answer, Call};
 
-use crate::callers::Asked;
-use crate::calls::{Ask, Told};
+use crate::callers::RequestResult;
+use crate::calls::{PlannerReply as Reply, PlannerRequest};
 use crate::entry::Entry;
 use crate::metrics;
 
@@ -26,8 +26,8 @@
             let body = serde_json::json!({"error": format!("no view {view:?}; known are {known}")});
             return Answer::new(StatusCode::NOT_FOUND).with_json(&body);
         };
-        match self.ask(Ask::Show(query), &call).await {
-            Asked::Told(Told::Shown(body)) => Answer { body, ..Answer::new(StatusCode::OK) },
+        match self.request_planner(PlannerRequest::View(query), &call).await {
+            RequestResult::Reply(Reply::View(body)) => Answer { body, ..Answer::new(StatusCode::OK) },
             asked => {
                 log::info!("event=unanswered what=show view={view} asked={asked:?}");
                 let body = serde_json::json!({"error": "no planner answers"});
--- a/crates/control/tests/seat.rs
+++ b/crates/control/tests/seat.rs
@@ -7,9 +7,9 @@
 
 use bytes::Bytes;
 use http::Method;
-use sorrelland_control::calls::{Ask, Holder, Told};
-use sorrelland_control::duty::{self, Office, Silence};
-use sorrelland_control::seat::Seat;
+use sorrelland_control::active_planner::ActivePlanner;
+use sorrelland_control::calls::{Leader, PlannerReply, PlannerRequest};
+use sorrelland_control::election::{self, LeaderTimeout, Leadership};
 use sorrelland_fleet::desired::{Desired, Queue};
 use sorrelland_fleet::job::{Step, Submission};
 use sorrelland_fleet::planner::Timing;
@@ -37,8 +37,8 @@
     Arc::new(Desired { version: 1, queues: vec![queue], keys: BTreeMap::new(), ..Desired::default() })
 }
 
-fn holder(epoch: u64, life: u64) -> Holder {
-    Holder { epoch, instance: format!("entry-{life}"), address: "127.0.0.1:1".to_owned(), life }
+fn holder(epoch: u64, life: u64) -> Leader {
+    Leader { epoch, instance: format!("entry-{life}"), address: "127.0.0.1:1".to_owned(), incarnation: life }
 }
 
 fn submission(job: &str) -> Submission {
@@ -62,12 +62,16 @@
 #[tokio::test]
 async fn ask_does_not_deny_a_job_that_may_be_stored() {
     let (address, store) = store().await;
-    let seat = Seat::take(&store, None, holder(1, 1), TIMING, desired()).await.unwrap();
+    let seat = ActivePlanner::start(&store, None, holder(1, 1), TIMING, desired()).await.unwrap();
     faults(&address, r#"{"lose_every": 1}"#).await;
     let asked = {
         let seat = seat.clone();
         tokio::spawn(async move {
-            seat.ask(Ask::Submit(submission("00000000000000a1")), Duration::from_secs(3)).await
+            seat.handle_request(
+                PlannerRequest::Submit(submission("00000000000000a1")),
+                Duration::from_secs(3),
+            )
+            .await
         })
     };
     // The append is carried out without an answer, then another planner takes over.
@@ -75,85 +79,91 @@
     faults(&address, "{}").await;
     let next = Writer { producer: "planner".to_owned(), epoch: 2, sequence: 0 };
     store.append_as("keyed.jobs", &next, &[], CALL_TIMEOUT).await.unwrap();
-    assert_eq!(asked.await.unwrap(), Told::Unresolved);
-    assert!(seat.is_over());
-    let successor = Seat::take(&store, None, holder(3, 2), TIMING, desired()).await.unwrap();
-    let told = successor.ask(Ask::State("00000000000000a1".to_owned()), Duration::from_secs(1)).await;
-    assert!(matches!(told, Told::State(Some(_))), "{told:?}");
+    assert_eq!(asked.await.unwrap(), PlannerReply::Unresolved);
+    assert!(seat.has_stepped_down());
+    let successor = ActivePlanner::start(&store, None, holder(3, 2), TIMING, desired()).await.unwrap();
+    let told = successor
+        .handle_request(PlannerRequest::State("00000000000000a1".to_owned()), Duration::from_secs(1))
+        .await;
+    assert!(matches!(told, PlannerReply::State(Some(_))), "{told:?}");
 }
 
 #[tokio::test]
 async fn claim_gives_way_to_one_that_came_first() {
     let (_, store) = store().await;
-    let (one, other) = (Office::default(), Office::default());
-    let first = duty::claim(&store, &one, &holder(0, 1), 0).await.unwrap();
-    assert_eq!(duty::claim(&store, &other, &holder(0, 2), 0).await, None);
+    let (one, other) = (Leadership::default(), Leadership::default());
+    let first = election::claim(&store, &one, &holder(0, 1), 0).await.unwrap();
+    assert_eq!(election::claim(&store, &other, &holder(0, 2), 0).await, None);
     assert_eq!(other.epoch(), first.epoch, "the loser has learned of the winner");
-    let second = duty::claim(&store, &other, &holder(0, 2), first.epoch).await.unwrap();
+    let second = election::claim(&store, &other, &holder(0, 2), first.epoch).await.unwrap();
     assert!(second.epoch > first.epoch);
 }
 
 #[tokio::test]
 async fn take_fences_the_writer_before() {
     let (_, store) = store().await;
-    let old = Seat::take(&store, None, holder(1, 1), TIMING, desired()).await.unwrap();
-    let _new = Seat::take(&store, None, holder(2, 2), TIMING, desired()).await.unwrap();
-    let told = old.ask(Ask::Submit(submission("00000000000000a1")), Duration::from_secs(2)).await;
-    assert_ne!(told, Told::Accepted);
-    assert!(old.is_over());
+    let old = ActivePlanner::start(&store, None, holder(1, 1), TIMING, desired()).await.unwrap();
+    let _new = ActivePlanner::start(&store, None, holder(2, 2), TIMING, desired()).await.unwrap();
+    let told = old
+        .handle_request(PlannerRequest::Submit(submission("00000000000000a1")), Duration::from_secs(2))
+        .await;
+    assert_ne!(told, PlannerReply::Accepted);
+    assert!(old.has_stepped_down());
 }
 
 #[test]
 fn is_over_counts_only_silence_that_was_seen() {
-    let mut silence = Silence::default();
-    silence.note_renewed(1_000);
-    silence.note_lost();
-    assert!(!silence.is_over(60_000, false, 0), "an outage of the store supersedes nobody");
-    silence.note_quiet(60_000);
-    assert!(!silence.is_over(60_000 + duty::SILENT_MS - 1, false, 0));
-    assert!(silence.is_over(60_000 + duty::SILENT_MS, false, 0));
-    silence.note_renewed(70_000);
-    assert!(!silence.is_over(70_000, false, 0));
-    silence.note_resigned();
-    assert!(silence.is_over(70_000, false, 300));
+    let mut silence = LeaderTimeout::default();
+    silence.record_renewal(1_000);
+    silence.record_read_failure();
+    assert!(!silence.has_expired(60_000, false, 0), "an outage of the store supersedes nobody");
+    silence.record_no_renewal(60_000);
+    assert!(!silence.has_expired(60_000 + election::LEADER_TIMEOUT_MS - 1, false, 0));
+    assert!(silence.has_expired(60_000 + election::LEADER_TIMEOUT_MS, false, 0));
+    silence.record_renewal(70_000);
+    assert!(!silence.has_expired(70_000, false, 0));
+    silence.record_step_down();
+    assert!(silence.has_expired(70_000, false, 300));
 }
 
 #[test]
 fn is_over_needs_less_silence_of_a_holder_that_refuses() {
-    let mut silence = Silence::default();
-    silence.note_renewed(1_000);
-    assert!(!silence.is_over(1_000 + duty::SILENT_AND_REFUSING_MS - 1, true, 0));
-    assert!(silence.is_over(1_000 + duty::SILENT_AND_REFUSING_MS, true, 0));
-    assert!(!silence.is_over(1_000 + duty::SILENT_AND_REFUSING_MS, false, 0));
-    silence.note_lost();
-    assert!(!silence.is_over(60_000, true, 0), "an outage of the store supersedes nobody");
+    let mut silence = LeaderTimeout::default();
+    silence.record_renewal(1_000);
+    assert!(!silence.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS - 1, true, 0));
+    assert!(silence.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS, true, 0));
+    assert!(!silence.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS, false, 0));
+    silence.record_read_failure();
+    assert!(!silence.has_expired(60_000, true, 0), "an outage of the store supersedes nobody");
 }
 
 #[tokio::test]
 async fn wait_for_silence_ends_at_once_for_the_next_life_of_the_holder() {
     let (_, store) = store().await;
-    let office = Office::default();
-    let held = duty::claim(&store, &office, &holder(0, 1), 0).await.unwrap();
-    duty::renew(&store, held.epoch, false).await.unwrap();
-    let next_life = Holder { epoch: 0, life: 2, ..held.clone() };
-    let waited = duty::wait_for_silence(&store, &office, &next_life, 0);
-    let epoch = tokio::time::timeout(Duration::from_millis(duty::SILENT_MS / 2), waited).await;
+    let office = Leadership::default();
+    let held = election::claim(&store, &office, &holder(0, 1), 0).await.unwrap();
+    election::renew(&store, held.epoch, false).await.unwrap();
+    let next_life = Leader { epoch: 0, incarnation: 2, ..held.clone() };
+    let waited = election::wait_until_claimable(&store, &office, &next_life, 0);
+    let epoch = tokio::time::timeout(Duration::from_millis(election::LEADER_TIMEOUT_MS / 2), waited).await;
     assert_eq!(epoch, Ok(held.epoch));
     // Another instance waits for the silence.
     let other = holder(0, 3);
-    let waited = duty::wait_for_silence(&store, &office, &other, 0);
-    assert!(tokio::time::timeout(Duration::from_millis(duty::SILENT_MS / 2), waited).await.is_err());
+    let waited = election::wait_until_claimable(&store, &office, &other, 0);
+    assert!(
+        tokio::time::timeout(Duration::from_millis(election::LEADER_TIMEOUT_MS / 2), waited).await.is_err()
+    );
 }
 
 #[test]
 fn refuses_only_until_the_holder_answers() {
-    let office = Office::default();
-    office.note_refused(1);
-    assert!(!office.refuses(), "there is no holder yet");
-    office.learn(Some(holder(2, 1)));
-    assert!(!office.refuses(), "an older holder refused");
-    office.note_refused(2);
-    assert!(office.refuses());
-    office.note_answered(2);
-    assert!(!office.refuses());
+    let office = Leadership::default();
+    office.record_refused(1);
+    assert!(!office.is_refusing(), "there is no holder yet");
+    office.update_leader(Some(holder(2, 1)));
+    assert!(!office.is_refusing(), "an older holder refused");
+    office.record_refused(2);
+    assert!(office.is_refusing());
+    office.record_answered(2);
+    assert!(!office.is_refusing());
 }
