--- /dev/null
+++ b/crates/control/src/active_planner.rs
@@ -0,0 +1,447 @@
+//! The active planner: connects the planning decisions with real clocks, the store and the agents.
+
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use sorrelland_fleet::Resources;
+use sorrelland_fleet::assignments::Assignments;
+use sorrelland_fleet::desired::Desired;
+use sorrelland_fleet::job::{Step, Submission};
+use sorrelland_fleet::planner::{Admission, Planner, Timing};
+use sorrelland_fleet::report::Report;
+use sorrelland_platform::store::{Error, Writer, keyed};
+use sorrelland_platform::{Policy, Store};
+use tokio::sync::{Notify, watch};
+
+use crate::adaptive_timeout::AdaptiveTimeout;
+use crate::calls::{Leader, PlannerReply as Reply, PlannerRequest};
+use crate::clock::{now_ms, wall_ms};
+use crate::election::{MAX_STORE_OUTAGE_MS, RENEWAL_INTERVAL, renew};
+use crate::stored::{APPEND_RETRY_DELAY, JOBS, PRODUCER, append_outcome, load_jobs, split_into_appends};
+use crate::{lock, metrics};
+
+/// Time between two planning passes when nothing else triggers one; an occurrence of a scheduled job starts at most
+/// this late.
+const PASS_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Maximum time for which an agent's report waits for new assignments.
+const AGENT_WAIT: Duration = Duration::from_millis(500);
+
+/// Failed tries of an append per log line: about one line a second.
+const TRIES_PER_LOG_LINE: u32 = 10;
+
+/// Maximum wait for an approval request before the leadership is checked again.
+const APPROVAL_REQUEST_WAIT: Duration = Duration::from_secs(2);
+
+/// The planner of the leader, with its tasks.
+pub struct ActivePlanner {
+    /// The leader that this process is, with its epoch.
+    pub leader: Leader,
+    planner: Mutex<Planner>,
+    /// Triggers a planning pass.
+    pass: Notify,
+    /// Triggers an append of the changes.
+    append: Notify,
+    /// Triggers requests to the policy service.
+    approval_requests: Notify,
+    /// Number of the newest stored change.
+    stored: watch::Sender<u64>,
+    stepped_down: watch::Sender<bool>,
+    agents: Mutex<BTreeMap<String, AgentSlot>>,
+}
+
+/// The newest report and assignments of an agent, and how to wake its waiting call.
+#[derive(Default)]
+struct AgentSlot {
+    wake: Arc<Notify>,
+    /// Incarnation of the agent and number of its newest report.
+    newest: (u64, u64),
+    /// Assignments last sent, with the incarnation of the agent that received them.
+    sent: Option<(u64, Assignments)>,
+}
+
+impl ActivePlanner {
+    /// Fences every earlier writer, reads the jobs and spawns the tasks of the planner.
+    pub async fn start(
+        store: &Store,
+        policy: Option<Policy>,
+        leader: Leader,
+        timing: Timing,
+        desired: Arc<Desired>,
+    ) -> Option<Arc<Self>> {
+        let mut writer = Writer { producer: PRODUCER.to_owned(), epoch: leader.epoch, sequence: 0 };
+        let jobs = load_jobs(store, &mut writer).await?;
+        let planner = Planner::new(timing, desired, jobs, now_ms());
+        let active = Arc::new(Self {
+            leader,
+            planner: Mutex::new(planner),
+            pass: Notify::new(),
+            append: Notify::new(),
+            approval_requests: Notify::new(),
+            stored: watch::Sender::new(0),
+            stepped_down: watch::Sender::new(false),
+            agents: Mutex::default(),
+        });
+        log::info!("event=office_taken epoch={}", active.leader.epoch);
+        tokio::spawn(active.clone().run_passes());
+        tokio::spawn(active.clone().run_appends(store.clone(), writer));
+        tokio::spawn(active.clone().run_renewals(store.clone()));
+        if let Some(policy) = policy {
+            tokio::spawn(active.clone().run_approval_requests(policy));
+        }
+        Some(active)
+    }
+
+    pub fn has_stepped_down(&self) -> bool {
+        *self.stepped_down.borrow()
+    }
+
+    pub async fn wait_for_step_down(&self) {
+        let mut stepped_down = self.stepped_down.subscribe();
+        // The sender exists as long as this planner.
+        let _ = stepped_down.wait_for(|stepped_down| *stepped_down).await;
+    }
+
+    /// Ends the leadership of this process; from now on every call is answered by a redirection.
+    pub fn step_down(&self, why: &str) {
+        if !self.stepped_down.send_replace(true) {
+            log::info!("event=office_ended epoch={} why=\"{why}\"", self.leader.epoch);
+        }
+        for slot in lock(&self.agents).values() {
+            slot.wake.notify_waiters();
+        }
+    }
+
+    pub fn set_desired(&self, desired: Arc<Desired>) {
+        lock(&self.planner).set_desired(desired);
+        self.pass.notify_one();
+    }
+
+    async fn run_passes(self: Arc<Self>) {
+        while !self.has_stepped_down() {
+            let waited = tokio::time::timeout(PASS_INTERVAL, self.pass.notified());
+            // A time-out triggers a pass as well.
+            let _ = waited.await;
+            self.run_pass();
+        }
+    }
+
+    fn run_pass(&self) {
+        let (lines, to_wake) = {
+            let mut planner = lock(&self.planner);
+            planner.tick(now_ms(), wall_ms());
+            let (reporting, known) = planner.reporting_workers(now_ms());
+            metrics::level("workers_heard", reporting as u64);
+            metrics::level("workers_known", known as u64);
+            metrics::level("jobs_live", planner.live_jobs() as u64);
+            if planner.has_approval_requests() {
+                self.approval_requests.notify_one();
+            }
+            (planner.take_log(), planner.take_agents_to_wake())
+        };
+        for line in lines {
+            log::info!("{line}");
+        }
+        self.append.notify_one();
+        self.wake_agents(to_wake);
+    }
+
+    fn wake_agents(&self, agents: Vec<String>) {
+        let slots = lock(&self.agents);
+        for agent in agents {
+            if let Some(slot) = slots.get(&agent) {
+                slot.wake.notify_waiters();
+            }
+        }
+    }
+
+    async fn run_appends(self: Arc<Self>, store: Store, mut writer: Writer) {
+        let mut append_timeout = AdaptiveTimeout::default();
+        while !self.has_stepped_down() {
+            self.append.notified().await;
+            loop {
+                let Some((records, change)) = lock(&self.planner).take_changes() else { break };
+                let raw: Vec<Vec<u8>> = records.iter().map(keyed).collect();
+                for part in split_into_appends(raw) {
+                    if !self.append_part(&store, &mut writer, &mut append_timeout, &part).await {
+                        return;
+                    }
+                }
+                let to_wake = {
+                    let mut planner = lock(&self.planner);
+                    planner.record_stored(change);
+                    planner.take_agents_to_wake_after_store()
+                };
+                self.stored.send_replace(change);
+                self.wake_agents(to_wake);
+            }
+        }
+    }
+
+    /// Repeats an append until it is stored; returns `false` if the leadership ended instead.
+    async fn append_part(
+        &self,
+        store: &Store,
+        writer: &mut Writer,
+        append_timeout: &mut AdaptiveTimeout,
+        part: &[Vec<u8>],
+    ) -> bool {
+        // Set once an append without an answer may have been carried out.
+        let mut unanswered = false;
+        let mut tries = 0_u32;
+        while !self.has_stepped_down() {
+            let began = Instant::now();
+            let appended = store.append_as(JOBS, writer, part, append_timeout.wait()).await;
+            metrics::append(append_outcome(&appended), began);
+            match &appended {
+                Err(e) if !e.nothing_done() => append_timeout.record_timeout(),
+                _ => append_timeout.record_reply(began.elapsed()),
+            }
+            match appended {
+                Ok(_) => {
+                    writer.sequence += 1;
+                    return true;
+                }
+                Err(Error::Fenced) => {
+                    self.step_down("a writer with a higher epoch has taken over");
+                    return false;
+                }
+                Err(Error::Sequence { expected: Some(next) }) if !unanswered && next != writer.sequence => {
+                    log::warn!("event=sequence_set from={} to={next}", writer.sequence);
+                    writer.sequence = next;
+                }
+                Err(e @ Error::Sequence { .. }) => {
+                    self.step_down(&format!("append sequence lost: {e}"));
+                    return false;
+                }
+                Err(e) => {
+                    unanswered |= !e.nothing_done();
+                    tries += 1;
+                    if tries == 1 || tries.is_multiple_of(TRIES_PER_LOG_LINE) {
+                        let sequence = writer.sequence;
+                        log::warn!("event=append_retried sequence={sequence} tries={tries} cause=\"{e}\"");
+                    }
+                    tokio::time::sleep(APPEND_RETRY_DELAY).await;
+                }
+            }
+        }
+        false
+    }
+
+    async fn run_renewals(self: Arc<Self>, store: Store) {
+        let mut renewed_at = now_ms();
+        while !self.has_stepped_down() {
+            match renew(&store, self.leader.epoch, false).await {
+                Ok(()) => renewed_at = now_ms(),
+                Err(e) => log::warn!("event=renewal_failed epoch={} cause=\"{e}\"", self.leader.epoch),
+            }
+            if now_ms() > renewed_at + MAX_STORE_OUTAGE_MS {
+                self.step_down("the store was unreachable for too long");
+            }
+            tokio::time::sleep(RENEWAL_INTERVAL).await;
+        }
+    }
+
+    /// Sends approval requests one at a time, since the policy service answers them one at a time anyway.
+    async fn run_approval_requests(self: Arc<Self>, policy: Policy) {
+        while !self.has_stepped_down() {
+            let approval_request = lock(&self.planner).next_approval_request(now_ms());
+            let Some((step, workers)) = approval_request else {
+                // After a time-out the loop checks whether the leadership has ended.
+                let _ = tokio::time::timeout(APPROVAL_REQUEST_WAIT, self.approval_requests.notified()).await;
+                continue;
+            };
+            let name = format!("{}.{}.{}", step.0, step.1, step.2);
+            match policy.ask(&name, &workers).await {
+                Ok(approvals) => {
+                    let mut planner = lock(&self.planner);
+                    planner.record_approvals(
+                        now_ms(),
+                        &step,
+                        &workers,
+                        &approvals.admitted,
+                        approvals.valid_ms,
+                    );
+                    drop(planner);
+                    self.pass.notify_one();
+                }
+                Err(e) => log::warn!("event=policy_unanswered job={} step={name} cause=\"{e}\"", step.0),
+            }
+        }
+    }
+
+    /// Waits at most `wait` until a change is stored; returns whether it is.
+    async fn wait_stored(&self, change: u64, wait: Duration) -> bool {
+        let mut stored = self.stored.subscribe();
+        let mut stepped_down = self.stepped_down.subscribe();
+        let stored = async {
+            // The sender exists as long as this planner.
+            let _ = stored.wait_for(|stored| *stored >= change).await;
+            true
+        };
+        tokio::select! {
+            done = stored => done,
+            _ = stepped_down.wait_for(|stepped_down| *stepped_down) => false,
+            () = tokio::time::sleep(wait) => false,
+        }
+    }
+
+    /// Handles the request of a caller, who waits for `wait`.
+    pub async fn handle_request(&self, request: PlannerRequest, wait: Duration) -> Reply {
+        if self.has_stepped_down() {
+            return Reply::NotPlanner(None);
+        }
+        match request {
+            PlannerRequest::Submit(sub) => {
+                let admission = {
+                    let mut planner = lock(&self.planner);
+                    planner.submit(now_ms(), wall_ms(), &sub)
+                };
+                match admission {
+                    Admission::Refused { reason: why, retry_after_ms } => {
+                        let Self { leader, .. } = self;
+                        log::info!(
+                            "event=refused job={} queue={} account={} epoch={} retry_after_ms={retry_after_ms} \
+                             why=\"{why}\"",
+                            sub.job,
+                            sub.queue,
+                            sub.account,
+                            leader.epoch
+                        );
+                        Reply::Refused { why, retry_after_ms }
+                    }
+                    Admission::Accepted { change } => {
+                        // A pass places the job now, so that one append stores both the job and its placement.
+                        self.run_pass();
+                        match self.wait_stored(change, wait).await {
+                            true => {
+                                log::info!(
+                                    "event=accepted job={} queue={} account={} {}",
+                                    sub.job,
+                                    sub.queue,
+                                    sub.account,
+                                    shape(&sub)
+                                );
+                                Reply::Accepted
+                            }
+                            // The append may have been carried out even if the leadership has ended.
+                            false => Reply::Unresolved,
+                        }
+                    }
+                }
+            }
+            PlannerRequest::State(job) => Reply::State(lock(&self.planner).state(&job)),
+            PlannerRequest::Pending(queue) => Reply::Pending(lock(&self.planner).pending(&queue) as u64),
+            PlannerRequest::View(query) => {
+                Reply::View(lock(&self.planner).view(&query, now_ms(), wall_ms()).to_string())
+            }
+            PlannerRequest::Cancel(job) => {
+                let change = lock(&self.planner).cancel(now_ms(), wall_ms(), &job);
+                let Some(change) = change else { return Reply::Cancelled(false) };
+                self.run_pass();
+                match self.wait_stored(change, wait).await {
+                    true => Reply::Cancelled(true),
+                    false => Reply::Unresolved,
+                }
+            }
+        }
+    }
+
+    /// Applies an agent's report and returns the assignments of its worker once they differ from those last sent, or
+    /// after [`AGENT_WAIT`]. Returns `None` if this process no longer leads.
+    pub async fn report(&self, report: Report) -> Option<Option<Assignments>> {
+        let (agent, incarnation, seq) = (report.agent.clone(), report.agent_incarnation, report.seq);
+        let has_results = !report.ended.is_empty() || !report.not_started.is_empty();
+        let joined = {
+            let mut planner = lock(&self.planner);
+            let before = planner.reporting_workers(now_ms()).1;
+            planner.apply_report(now_ms(), wall_ms(), &report);
+            planner.reporting_workers(now_ms()).1 != before
+        };
+        let wake = {
+            let mut slots = lock(&self.agents);
+            let slot = slots.entry(agent.clone()).or_default();
+            if slot.newest.0 != incarnation || slot.newest.1 < seq {
+                slot.newest = (incarnation, seq);
+                // Ends the wait of the older report, which this one replaces.
+                slot.wake.notify_waiters();
+            }
+            slot.wake.clone()
+        };
+        if has_results || joined {
+            self.pass.notify_one();
+        }
+        let deadline = tokio::time::Instant::now() + AGENT_WAIT;
+        loop {
+            if self.has_stepped_down() {
+                return None;
+            }
+            // Registers before the check, so that a change between the two is not missed.
+            let woken = wake.notified();
+            tokio::pin!(woken);
+            woken.as_mut().enable();
+            let assignments = lock(&self.planner).assignments(now_ms(), &agent);
+            let timed_out = tokio::time::Instant::now() >= deadline;
+            if timed_out
+                || self.record_if_changed(&agent, incarnation, assignments.as_ref())
+                || self.is_superseded(&agent, incarnation, seq)
+            {
+                return Some(assignments);
+            }
+            // Returns on a change for this agent or at the deadline.
+            let _ = tokio::time::timeout_at(deadline, woken).await;
+        }
+    }
+
+    /// Returns whether a newer report of the agent has arrived.
+    fn is_superseded(&self, agent: &str, incarnation: u64, seq: u64) -> bool {
+        lock(&self.agents).get(agent).is_some_and(|slot| slot.newest.0 != incarnation || slot.newest.1 > seq)
+    }
+
+    /// Records assignments as sent to an incarnation of an agent, unless they equal the last ones sent to it; returns
+    /// whether it did.
+    fn record_if_changed(&self, agent: &str, incarnation: u64, assignments: Option<&Assignments>) -> bool {
+        let mut slots = lock(&self.agents);
+        let (Some(slot), Some(assignments)) = (slots.get_mut(agent), assignments) else { return false };
+        let sent = slot.sent.as_ref();
+        if sent.is_some_and(|(sent_to, sent)| *sent_to == incarnation && same_assignments(sent, assignments))
+        {
+            return false;
+        }
+        slot.sent = Some((incarnation, assignments.clone()));
+        true
+    }
+}
+
+/// Formats the size and options of a job for the logs.
+fn shape(sub: &Submission) -> String {
+    let step = |step: &Step| {
+        let flags = [
+            (step.gang, "gang"),
+            (step.prefers_one_rack, "one_rack"),
+            (step.saves_progress, "saves"),
+            (step.speculative, "speculative"),
+            (step.long_running, "lasting"),
+            (step.uses_idle_cpu, "fills"),
+            (step.label.is_some(), "label"),
+            (step.preferred_rack.is_some(), "near"),
+            (step.max_per_worker.is_some(), "spread"),
+            (step.target_ms.is_some(), "target"),
+            (!step.depends_on.is_empty(), "after"),
+        ];
+        let flags: Vec<&str> = flags.iter().filter(|(on, _)| *on).map(|(_, name)| *name).collect();
+        let Resources { millicores, memory_mb, accelerators } = step.resources;
+        let (count, ms) = (step.count, step.estimate_ms);
+        format!("{count}x{millicores}m/{memory_mb}MB/{accelerators}acc~{ms}ms:{}", flags.join("+"))
+    };
+    let steps: Vec<String> = sub.steps.iter().map(step).collect();
+    let occurrences = sub.schedule.map_or(1, |schedule| schedule.occurrences);
+    format!("occurrences={occurrences} shape=\"{}\"", steps.join(","))
+}
+
+/// Compares assignments without their number and grant.
+fn same_assignments(one: &Assignments, other: &Assignments) -> bool {
+    let plain = |assignments: &Assignments| Assignments { number: 0, grant_ms: 0, ..assignments.clone() };
+    plain(one) == plain(other)
+}
