--- a/crates/control/src/agent.rs
+++ b/crates/control/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent beside a worker: the only process that gives it orders.
+//! The agent beside a worker: the only process that sends it starts, stops and speed shares.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -17,64 +17,62 @@
 use crate::calls::{Links, Ping, Wish, call};
 use crate::clock::now_ms;
 use crate::duty::{CLAIMS, Office};
-use crate::lease::Watched;
+use crate::lease::WorkerState;
 use crate::signals::{self, stopped};
 use crate::{Error as RunError, Result, follow, lock, metrics, reload};
 
-/// Wait of a read of the claims: agents hear of planners from entries as well, and there are many agents.
-const FOLLOW_WAIT: Duration = Duration::from_secs(10);
+/// Wait of one read of the claims. Long, because there are many agents and they also learn of the leader from
+/// entries.
+const CLAIMS_READ_WAIT: Duration = Duration::from_secs(10);
 
-/// Longest wait of a look for an end; also the longest time between two extensions of a lease.
-const LOOK_WAIT: Duration = Duration::from_millis(1_000);
+/// Longest time that a poll waits for an end; also the longest time between two extensions of a lease.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Pause after a call to the worker failed, and before an order without an answer is repeated.
-const ORDER_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after a failed call to the worker, and before an unanswered start, stop or speed share is repeated.
+const CALL_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Time between two looks at what is to be ordered when nothing causes one.
-const ORDERS_EVERY: Duration = Duration::from_secs(1);
+/// Time between two checks for due starts, stops and speed shares when nothing triggers one.
+const DISPATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Wait for the planner to store ends before they are looked at again.
-const CONFIRM_WAIT: Duration = Duration::from_millis(400);
+/// Time that the planner gets to store ends before the worker is polled again.
+const ACKNOWLEDGE_WAIT: Duration = Duration::from_millis(400);
 
-/// Pause between checks for leases that have run out while there is nothing else to do.
-const IDLE_PAUSE: Duration = Duration::from_millis(500);
+/// Time between checks for expired leases while the worker needs no poll.
+const LAPSE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time for a report and its answer; the planner answers within half of it.
+/// Time-out of a report; the planner replies within half of it.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Pause after a report that failed.
-const REPORT_PAUSE: Duration = Duration::from_millis(150);
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Reports on their way at a time: one that waits, and newer ones that overtake it.
-const REPORTS_AT_A_TIME: usize = 3;
+/// Reports in flight at a time: one that waits at the planner, and newer ones that overtake it.
+const MAX_CONCURRENT_REPORTS: usize = 3;
 
-/// Time for a ping.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Path of announcements.
-const INSTANCES: &str = "/instances/";
+const ANNOUNCEMENT_PATH_PREFIX: &str = "/instances/";
 
 struct Agent {
     settings: Settings,
-    life: u64,
-    office: Office,
+    incarnation: u64,
+    leadership: Office,
     links: Links,
     worker: WorkerClient,
-    watched: Mutex<Watched>,
+    worker_state: Mutex<WorkerState>,
     entries: Mutex<Vec<String>>,
-    /// Causes a report.
-    news: Notify,
-    /// Causes orders to be given.
-    orders: Notify,
-    /// Causes a look.
-    look: Notify,
+    /// Triggers a report.
+    report_due: Notify,
+    /// Triggers a check for due starts, stops and speed shares.
+    dispatch_due: Notify,
+    /// Triggers a poll of the worker.
+    poll_due: Notify,
 }
 
 /// Runs an agent until it is asked to stop.
 ///
 /// # Errors
 ///
-/// Returns why it could not start.
+/// Fails if a setting is missing or an address can't be used.
 pub async fn run(settings: Settings, path: PathBuf, metrics_port: Option<u16>) -> Result<()> {
     let listen = settings.announcements.ok_or(RunError::Missing("the address for announcements"))?;
     let worker = settings.worker.ok_or(RunError::Missing("the address of the worker"))?;
@@ -84,34 +82,34 @@
     crate::entry::serve_metrics(&settings, metrics_port, show)?;
     let store = Store::new(&settings.store);
     let agent = Arc::new(Agent {
-        life: rand::random(),
-        office: Office::default(),
+        incarnation: rand::random(),
+        leadership: Office::default(),
         links: Links::new(&settings.store),
         worker: WorkerClient::new(&worker.to_string()),
-        watched: Mutex::new(Watched::new(settings.bounds.longest_lease_ms, settings.bounds.stop_ms)),
+        worker_state: Mutex::new(WorkerState::new(settings.bounds.longest_lease_ms, settings.bounds.stop_ms)),
         entries: Mutex::default(),
-        news: Notify::new(),
-        orders: Notify::new(),
-        look: Notify::new(),
+        report_due: Notify::new(),
+        dispatch_due: Notify::new(),
+        poll_due: Notify::new(),
         settings,
     });
     let handler = {
         let agent = agent.clone();
         Arc::new(move |call: Call| {
-            let answer = agent.announced(&call);
+            let answer = agent.handle_announcement(&call);
             async move { answer }.boxed()
         })
     };
     let server = serve::start(listen, handler)?;
-    log::info!("event=started role=agent instance={} life={}", agent.settings.instance, agent.life);
-    let office = agent.office.clone();
-    let take = move |key: &str, value: &[u8], offset: u64| office.take(key, value, offset);
-    tokio::spawn(async move { follow::follow(&store, CLAIMS, FOLLOW_WAIT, take).await });
-    tokio::spawn(agent.clone().run_orders());
-    tokio::spawn(agent.clone().run_looks());
+    log::info!("event=started role=agent instance={} life={}", agent.settings.instance, agent.incarnation);
+    let leadership = agent.leadership.clone();
+    let apply_claim = move |key: &str, value: &[u8], offset: u64| leadership.take(key, value, offset);
+    tokio::spawn(async move { follow::follow(&store, CLAIMS, CLAIMS_READ_WAIT, apply_claim).await });
+    tokio::spawn(agent.clone().run_dispatch());
+    tokio::spawn(agent.clone().run_polls());
     tokio::spawn(agent.clone().run_reports());
     stopped(asked).await;
-    // The worker keeps its leases until the next life of this agent extends them.
+    // The worker keeps its leases until the next incarnation of this agent extends them.
     log::info!("event=stopping role=agent instance={}", agent.settings.instance);
     if let Err(e) = server.close().await {
         log::warn!("event=server_failed cause=\"{e}\"");
@@ -120,156 +118,165 @@
 }
 
 impl Agent {
-    /// Answers an announcement of the worker.
-    fn announced(&self, call: &Call) -> Answer {
-        let Some(life) = call.path.strip_prefix(INSTANCES).filter(|life| !life.is_empty()) else {
+    /// Answers an announcement of the worker, or the worker's notice that it leaves.
+    fn handle_announcement(&self, call: &Call) -> Answer {
+        let Some(incarnation) =
+            call.path.strip_prefix(ANNOUNCEMENT_PATH_PREFIX).filter(|incarnation| !incarnation.is_empty())
+        else {
             return Answer::new(StatusCode::NOT_FOUND);
         };
         match call.method {
-            Method::PUT => match announcement(life, &call.body) {
+            Method::PUT => match announcement(incarnation, &call.body) {
                 Ok(announcement) => {
                     let draining = announcement.info.draining;
-                    if lock(&self.watched).announce(now_ms(), announcement) {
-                        log::info!("event=worker_announced worker={life} draining={draining}");
-                        self.news.notify_one();
-                        self.look.notify_one();
+                    if lock(&self.worker_state).apply_announcement(now_ms(), announcement) {
+                        log::info!("event=worker_announced worker={incarnation} draining={draining}");
+                        self.report_due.notify_one();
+                        self.poll_due.notify_one();
                     }
                     Answer::new(StatusCode::OK).with_json(&serde_json::json!({}))
                 }
                 Err(e) => {
-                    log::warn!("event=announcement_skipped worker={life} cause=\"{e}\"");
+                    log::warn!("event=announcement_skipped worker={incarnation} cause=\"{e}\"");
                     Answer::new(StatusCode::BAD_REQUEST)
                 }
             },
             Method::DELETE => {
-                lock(&self.watched).leave(life);
-                log::info!("event=worker_left worker={life}");
-                self.news.notify_one();
+                lock(&self.worker_state).record_departure(incarnation);
+                log::info!("event=worker_left worker={incarnation}");
+                self.report_due.notify_one();
                 Answer::new(StatusCode::OK)
             }
             _ => Answer::new(StatusCode::METHOD_NOT_ALLOWED),
         }
     }
 
-    /// Keeps one report waiting at the planner, and sends another at once when there is news.
+    /// Keeps one report waiting at the planner, and sends another at once when one is triggered.
     async fn run_reports(self: Arc<Self>) {
-        let mut under_way = JoinSet::new();
+        let mut in_flight = JoinSet::new();
         let mut seq = 0;
         loop {
             seq += 1;
             let agent = self.clone();
-            under_way.spawn(async move { agent.report_once(seq).await });
+            in_flight.spawn(async move { agent.send_report(seq).await });
             loop {
-                let may_send = under_way.len() < REPORTS_AT_A_TIME;
+                let may_send = in_flight.len() < MAX_CONCURRENT_REPORTS;
                 tokio::select! {
-                    Some(done) = under_way.join_next() => {
-                        if let Err(e) = done {
+                    Some(result) = in_flight.join_next() => {
+                        if let Err(e) = result {
                             log::error!("event=report_task_failed cause=\"{e}\"");
                         }
-                        if under_way.is_empty() {
+                        if in_flight.is_empty() {
                             break;
                         }
                     }
-                    () = self.news.notified(), if may_send => break,
+                    () = self.report_due.notified(), if may_send => break,
                 }
             }
         }
     }
 
-    async fn report_once(&self, seq: u64) {
-        let Some(holder) = self.office.holder() else {
-            tokio::time::sleep(REPORT_PAUSE).await;
+    async fn send_report(&self, seq: u64) {
+        let Some(leader) = self.leadership.holder() else {
+            tokio::time::sleep(REPORT_RETRY_DELAY).await;
             return;
         };
-        let report = lock(&self.watched).report(&self.settings.instance, self.life, seq);
+        let report = lock(&self.worker_state).build_report(&self.settings.instance, self.incarnation, seq);
         let sent = now_ms();
         let answer =
-            call(&self.links, &holder.address, REPORT_TIMEOUT, async |rpc, cx| rpc.report(cx, report).await);
+            call(&self.links, &leader.address, REPORT_TIMEOUT, async |rpc, cx| rpc.report(cx, report).await);
         match answer.await {
             Ok(Wish::Orders { epoch, orders, entries }) => {
                 if !entries.is_empty() {
                     *lock(&self.entries) = entries;
                 }
-                let (taken, confirmed) = {
-                    let mut watched = lock(&self.watched);
-                    let before = watched.seen();
-                    (watched.take_orders(sent, epoch, orders), watched.seen() > before)
+                let (applied, acknowledged) = {
+                    let mut state = lock(&self.worker_state);
+                    let before = state.acknowledged();
+                    (state.apply_assignments(sent, epoch, orders), state.acknowledged() > before)
                 };
-                if taken {
-                    self.orders.notify_one();
+                if applied {
+                    self.dispatch_due.notify_one();
                 }
-                if confirmed {
-                    self.look.notify_one();
+                if acknowledged {
+                    self.poll_due.notify_one();
                 }
             }
             Ok(Wish::NotPlanner(known)) => {
-                self.office.learn(known);
-                tokio::time::sleep(REPORT_PAUSE).await;
+                self.leadership.learn(known);
+                tokio::time::sleep(REPORT_RETRY_DELAY).await;
             }
             Err(e) => {
-                log::debug!("event=report_failed planner={} cause=\"{e}\"", holder.address);
-                self.ask_entries(&holder.address).await;
-                tokio::time::sleep(REPORT_PAUSE).await;
+                log::debug!("event=report_failed planner={} cause=\"{e}\"", leader.address);
+                self.ask_entries_for_leader(&leader.address).await;
+                tokio::time::sleep(REPORT_RETRY_DELAY).await;
             }
         }
     }
 
-    /// Asks the entries who plans, since the one that was thought to is silent.
-    async fn ask_entries(&self, silent: &str) {
+    /// Asks the entries for the leader, as the last known leader, at `unresponsive`, has not replied.
+    async fn ask_entries_for_leader(&self, unresponsive: &str) {
         let entries = lock(&self.entries).clone();
-        let pings = entries.iter().filter(|address| *address != silent).map(|address| async move {
-            let ping = Ping { address: String::new(), holder: self.office.holder(), version: u64::MAX };
+        let pings = entries.iter().filter(|address| *address != unresponsive).map(|address| async move {
+            let ping = Ping { address: String::new(), holder: self.leadership.holder(), version: u64::MAX };
             call(&self.links, address, PING_TIMEOUT, async |rpc, cx| rpc.ping(cx, ping).await).await
         });
         for pong in join_all(pings).await.into_iter().flatten() {
-            self.office.learn(pong.holder);
+            self.leadership.learn(pong.holder);
         }
     }
 
-    async fn run_orders(self: Arc<Self>) {
+    async fn run_dispatch(self: Arc<Self>) {
         loop {
-            let (life, starts, stops, paces, clocked) = {
-                let watched = lock(&self.watched);
-                let life = watched.life().map(str::to_owned);
+            let (incarnation, starts, stops, paces, clock_known) = {
+                let state = lock(&self.worker_state);
+                let incarnation = state.incarnation().map(str::to_owned);
                 let now = now_ms();
-                (life, watched.starts(now), watched.stops(now), watched.paces(), watched.has_clock())
+                (
+                    incarnation,
+                    state.due_starts(now),
+                    state.due_stops(now),
+                    state.due_paces(),
+                    state.has_clock(),
+                )
             };
-            let Some(life) = life.filter(|_| !starts.is_empty() || !stops.is_empty() || !paces.is_empty())
+            let Some(incarnation) =
+                incarnation.filter(|_| !starts.is_empty() || !stops.is_empty() || !paces.is_empty())
             else {
-                // Orders, or the time to repeat one that was answered and shows no effect.
-                let _ = tokio::time::timeout(ORDERS_EVERY, self.orders.notified()).await;
+                // Wakes for new assignments, or to repeat a call that was answered without taking effect.
+                let _ = tokio::time::timeout(DISPATCH_INTERVAL, self.dispatch_due.notified()).await;
                 continue;
             };
-            if !clocked && !starts.is_empty() {
-                self.look_once(&life, Duration::ZERO).await;
+            if !clock_known && !starts.is_empty() {
+                self.poll_worker(&incarnation, Duration::ZERO).await;
             }
-            // Stops first: what they free may be what the starts need.
-            let stops = join_all(stops.iter().map(|stop| self.stop_once(&life, stop))).await;
-            let starts = join_all(starts.iter().map(|start| self.start_once(&life, start))).await;
-            let paces = join_all(paces.iter().map(|pace| self.pace_once(&life, pace))).await;
-            let final_answers = stops.iter().chain(&starts).any(|answered| *answered);
-            if final_answers {
-                self.look.notify_one();
-                self.news.notify_one();
-                self.look_once(&life, Duration::ZERO).await;
+            // Stops go first: the starts may need the resources that they free.
+            let stops = join_all(stops.iter().map(|stop| self.send_stop(&incarnation, stop))).await;
+            let starts = join_all(starts.iter().map(|start| self.send_start(&incarnation, start))).await;
+            let paces = join_all(paces.iter().map(|pace| self.send_pace(&incarnation, pace))).await;
+            let any_final = stops.iter().chain(&starts).any(|answered| *answered);
+            if any_final {
+                self.poll_due.notify_one();
+                self.report_due.notify_one();
+                self.poll_worker(&incarnation, Duration::ZERO).await;
             }
             if stops.iter().chain(&starts).chain(&paces).any(|answered| !*answered) {
-                tokio::time::sleep(ORDER_PAUSE).await;
+                tokio::time::sleep(CALL_RETRY_DELAY).await;
             }
         }
     }
 
-    /// Orders a start; returns whether the answer was final.
-    async fn start_once(&self, life: &str, start: &Start) -> bool {
+    /// Sends a start; returns whether the answer was final.
+    async fn send_start(&self, incarnation: &str, start: &Start) -> bool {
         let (token, lease_end_ms) = {
-            let mut watched = lock(&self.watched);
-            // The wish may have changed while earlier orders were on their way.
-            if !watched.starts(now_ms()).contains(start) {
+            let mut state = lock(&self.worker_state);
+            // The assignments may have changed while earlier calls were in flight.
+            if !state.due_starts(now_ms()).contains(start) {
                 return true;
             }
-            let Some(lease_end_ms) = watched.extend(now_ms()) else { return false };
-            watched.note_tried(start);
-            (watched.epoch(), lease_end_ms)
+            let Some(lease_end_ms) = state.extend_lease(now_ms()) else { return false };
+            state.record_start_attempt(start);
+            (state.epoch(), lease_end_ms)
         };
         let order = StartOrder {
             task: &start.task,
@@ -281,133 +288,141 @@
             token,
         };
         let (job, task, run) = (&start.task.job, &start.task, start.run);
-        match self.worker.start(life, &order).await {
+        match self.worker.start(incarnation, &order).await {
             Ok((Started::Running, clock_ms)) => {
-                log::info!("event=started job={job} task={task} run={run} worker={life} token={token}");
-                let mut watched = lock(&self.watched);
+                log::info!(
+                    "event=started job={job} task={task} run={run} worker={incarnation} token={token}"
+                );
+                let mut state = lock(&self.worker_state);
                 if let Some(clock_ms) = clock_ms {
-                    watched.note_clock(now_ms(), clock_ms);
+                    state.record_clock(now_ms(), clock_ms);
                 }
-                watched.note_started(life, start, clock_ms.unwrap_or_default());
+                state.record_start(incarnation, start, clock_ms.unwrap_or_default());
                 true
             }
             Ok((Started::Never(why), _)) => {
-                log::warn!("event=start_refused job={job} task={task} run={run} worker={life} why={why}");
-                lock(&self.watched).note_final(life, task, run, &why);
+                log::warn!(
+                    "event=start_refused job={job} task={task} run={run} worker={incarnation} why={why}"
+                );
+                lock(&self.worker_state).expect_absence(incarnation, task, run, &why);
                 true
             }
             Ok((Started::NotNow(why), clock_ms)) => {
-                log::warn!("event=start_delayed job={job} task={task} run={run} worker={life} why=\"{why}\"");
+                log::warn!(
+                    "event=start_delayed job={job} task={task} run={run} worker={incarnation} why=\"{why}\""
+                );
                 if let Some(clock_ms) = clock_ms {
-                    lock(&self.watched).note_clock(now_ms(), clock_ms);
+                    lock(&self.worker_state).record_clock(now_ms(), clock_ms);
                 }
                 false
             }
             Err(e) => {
                 log::warn!(
-                    "event=start_unanswered job={job} task={task} run={run} worker={life} cause=\"{e}\""
+                    "event=start_unanswered job={job} task={task} run={run} worker={incarnation} cause=\"{e}\""
                 );
-                self.note_error(life, &e);
+                self.record_call_error(incarnation, &e);
                 false
             }
         }
     }
 
-    /// Orders a stop; returns whether it was answered.
-    async fn stop_once(&self, life: &str, stop: &Stop) -> bool {
-        let token = lock(&self.watched).epoch();
+    /// Sends a stop; returns whether it was answered.
+    async fn send_stop(&self, incarnation: &str, stop: &Stop) -> bool {
+        let token = lock(&self.worker_state).epoch();
         let (job, task, run) = (&stop.task.job, &stop.task, stop.run);
-        match self.worker.stop(life, task, run, token).await {
+        match self.worker.stop(incarnation, task, run, token).await {
             Ok(()) => {
-                log::info!("event=stop_ordered job={job} task={task} run={run} worker={life} token={token}");
-                let mut watched = lock(&self.watched);
-                watched.note_stopped(life, stop, now_ms());
-                watched.note_final(life, task, run, "stopped before it was there");
+                log::info!(
+                    "event=stop_ordered job={job} task={task} run={run} worker={incarnation} token={token}"
+                );
+                let mut state = lock(&self.worker_state);
+                state.record_stop_answer(incarnation, stop, now_ms());
+                state.expect_absence(incarnation, task, run, "stopped before it started");
                 true
             }
             Err(e) => {
                 log::warn!(
-                    "event=stop_unanswered job={job} task={task} run={run} worker={life} cause=\"{e}\""
+                    "event=stop_unanswered job={job} task={task} run={run} worker={incarnation} cause=\"{e}\""
                 );
-                self.note_error(life, &e);
+                self.record_call_error(incarnation, &e);
                 false
             }
         }
     }
 
-    /// Orders a speed share; returns whether it was answered.
-    async fn pace_once(&self, life: &str, pace: &Pace) -> bool {
-        let token = lock(&self.watched).epoch();
+    /// Sends a speed share; returns whether it was answered.
+    async fn send_pace(&self, incarnation: &str, pace: &Pace) -> bool {
+        let token = lock(&self.worker_state).epoch();
         let Pace { task, run, percent } = pace;
-        match self.worker.pace(life, task, *run, *percent, token).await {
+        match self.worker.pace(incarnation, task, *run, *percent, token).await {
             Ok(()) => {
-                lock(&self.watched).note_paced(life, pace);
+                lock(&self.worker_state).record_pace(incarnation, pace);
                 true
             }
             Err(e) => {
                 log::warn!(
-                    "event=pace_unanswered job={} task={task} run={run} worker={life} cause=\"{e}\"",
+                    "event=pace_unanswered job={} task={task} run={run} worker={incarnation} cause=\"{e}\"",
                     task.job
                 );
-                self.note_error(life, &e);
+                self.record_call_error(incarnation, &e);
                 false
             }
         }
     }
 
-    fn note_error(&self, life: &str, error: &Error) {
+    fn record_call_error(&self, incarnation: &str, error: &Error) {
         if matches!(error, Error::OtherLife) {
-            log::warn!("event=worker_replaced worker={life}");
-            lock(&self.watched).drop_current(life);
+            log::warn!("event=worker_replaced worker={incarnation}");
+            lock(&self.worker_state).end_incarnation(incarnation);
         }
     }
 
-    async fn run_looks(self: Arc<Self>) {
+    async fn run_polls(self: Arc<Self>) {
         loop {
-            let (life, needed, resolves) = {
-                let mut watched = lock(&self.watched);
-                if watched.lapse(now_ms()) {
-                    log::warn!("event=leases_lapsed worker={}", watched.life().unwrap_or_default());
-                    self.news.notify_one();
+            let (incarnation, needed, checks_absence) = {
+                let mut state = lock(&self.worker_state);
+                if state.expire_leases(now_ms()) {
+                    log::warn!("event=leases_lapsed worker={}", state.incarnation().unwrap_or_default());
+                    self.report_due.notify_one();
                 }
-                (watched.life().map(str::to_owned), watched.needs_look(), watched.resolves())
+                (state.incarnation().map(str::to_owned), state.needs_poll(), state.has_absence_checks())
             };
-            let Some(life) = life.filter(|_| needed) else {
-                let _ = tokio::time::timeout(IDLE_PAUSE, self.look.notified()).await;
+            let Some(incarnation) = incarnation.filter(|_| needed) else {
+                let _ = tokio::time::timeout(LAPSE_CHECK_INTERVAL, self.poll_due.notified()).await;
                 continue;
             };
-            let wait = if resolves { Duration::ZERO } else { LOOK_WAIT };
-            let done = tokio::select! {
-                done = self.look_once(&life, wait) => done,
-                // Something happened that the look on its way can't show.
-                () = self.look.notified() => true,
+            let wait = if checks_absence { Duration::ZERO } else { MAX_POLL_WAIT };
+            let answered = tokio::select! {
+                answered = self.poll_worker(&incarnation, wait) => answered,
+                // A change that the poll in flight can't show.
+                () = self.poll_due.notified() => true,
             };
-            if lock(&self.watched).has_unconfirmed() {
-                // A look would return at once until the planner has stored the ends.
-                let _ = tokio::time::timeout(CONFIRM_WAIT, self.look.notified()).await;
-            } else if !done || resolves {
-                tokio::time::sleep(ORDER_PAUSE).await;
+            if lock(&self.worker_state).has_unacknowledged_ends() {
+                // A poll would return at once until the planner has stored the ends.
+                let _ = tokio::time::timeout(ACKNOWLEDGE_WAIT, self.poll_due.notified()).await;
+            } else if !answered || checks_absence {
+                tokio::time::sleep(CALL_RETRY_DELAY).await;
             }
         }
     }
 
-    /// Looks at the worker and extends its leases; returns whether it answered.
-    async fn look_once(&self, life: &str, wait: Duration) -> bool {
-        let (look, token, seen, lease_end_ms) = {
-            let mut watched = lock(&self.watched);
-            (watched.begin_look(), watched.epoch(), watched.seen(), watched.extend(now_ms()))
+    /// Polls the worker and extends its leases; returns whether it answered.
+    async fn poll_worker(&self, incarnation: &str, wait: Duration) -> bool {
+        let (poll, token, acknowledged, lease_end_ms) = {
+            let mut state = lock(&self.worker_state);
+            (state.begin_poll(), state.epoch(), state.acknowledged(), state.extend_lease(now_ms()))
         };
-        match self.worker.look(life, token, seen, lease_end_ms, wait).await {
+        match self.worker.look(incarnation, token, acknowledged, lease_end_ms, wait).await {
             Ok(listing) => {
-                if lock(&self.watched).take_listing(now_ms(), look, life, listing) {
-                    self.news.notify_one();
-                    self.orders.notify_one();
+                if lock(&self.worker_state).apply_listing(now_ms(), poll, incarnation, listing) {
+                    self.report_due.notify_one();
+                    self.dispatch_due.notify_one();
                 }
                 true
             }
             Err(e) => {
-                log::warn!("event=look_failed worker={life} token={token} cause=\"{e}\"");
-                self.note_error(life, &e);
+                log::warn!("event=look_failed worker={incarnation} token={token} cause=\"{e}\"");
+                self.record_call_error(incarnation, &e);
                 false
             }
         }
--- a/crates/control/tests/histories.rs
+++ b/crates/control/tests/histories.rs
@@ -1,34 +1,35 @@
-//! Generated histories of an agent and its worker: lost and late orders, lost looks, restarts of the agent, failed
-//! runs, silence of the planner. A run that the agent calls gone must never be there, then or later.
+//! Generated histories of an agent and its worker: lost and late calls, lost polls, restarts of the agent, failed
+//! runs, an unresponsive planner. A run that the agent reports as not started must not be on the worker, then or
+//! later.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use sorrelland_control::lease::Watched;
+use sorrelland_control::lease::WorkerState;
 use sorrelland_fleet::Task;
 use sorrelland_fleet::assignments::{Assignments, Start, Stop};
 use sorrelland_fleet::report::{End, EndReason, Running, WorkerInfo};
 use sorrelland_platform::worker::{Announcement, Listing};
 
-const LIFE: &str = "w-1";
+const INCARNATION: &str = "w-1";
 const LONGEST_LEASE_MS: u64 = 6_000;
 const STOP_MS: u64 = 400;
 
-/// Grant of the planner, below the longest lease as the planner's own setting is.
+/// Grant of the planner: below the longest lease, as in the entry.
 const GRANT_MS: u64 = 4_800;
 
 const TASKS: u32 = 3;
 
 type RunKey = (Task, u64);
 
-/// What becomes of an order.
+/// Delivery of a start or stop to the worker.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Delivery {
     Answered,
-    /// It is carried out at once, and its answer is lost.
+    /// Executed at once; the answer is lost.
     AnswerLost,
-    /// It is carried out this much later, in milliseconds, without an answer.
+    /// Executed after this many milliseconds; no answer arrives.
     Late(u64),
     Lost,
 }
@@ -36,29 +37,30 @@
 #[derive(Clone, Debug)]
 enum Op {
     Wait(u64),
-    /// The planner hears a report and answers it, or its answer is lost.
+    /// The planner receives a report; its reply arrives or is lost.
     Report {
         answered: bool,
     },
-    /// The planner wants a subtask run here, or its newest run stopped.
-    Want(u32),
-    Unwant(u32),
-    Order(Fate),
-    Look {
+    /// The planner assigns a subtask to the worker.
+    Assign(u32),
+    /// The planner stops the newest run of a subtask.
+    Unassign(u32),
+    Call(Delivery),
+    Poll {
         answered: bool,
     },
-    /// A look whose answer shows the worker as it was, this much later, in milliseconds.
-    SlowLook(u64),
+    /// A poll whose answer shows the worker's state at the poll and arrives after this many milliseconds.
+    SlowPoll(u64),
     RestartAgent,
     Fail(u32),
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        4 => Just(Fate::Answered),
-        1 => Just(Fate::AnswerLost),
-        1 => (100_u64..12_000).prop_map(Fate::Late),
-        1 => Just(Fate::Lost),
+        4 => Just(Delivery::Answered),
+        1 => Just(Delivery::AnswerLost),
+        1 => (100_u64..12_000).prop_map(Delivery::Late),
+        1 => Just(Delivery::Lost),
     ]
 }
 
@@ -67,25 +69,25 @@
         4 => (1_u64..400).prop_map(Op::Wait),
         1 => (400_u64..7_000).prop_map(Op::Wait),
         6 => prop::bool::weighted(0.8).prop_map(|answered| Op::Report { answered }),
-        3 => (0..TASKS).prop_map(Op::Want),
-        2 => (0..TASKS).prop_map(Op::Unwant),
-        6 => fate().prop_map(Op::Order),
-        5 => prop::bool::weighted(0.8).prop_map(|answered| Op::Look { answered }),
-        2 => (20_u64..900).prop_map(Op::SlowLook),
+        3 => (0..TASKS).prop_map(Op::Assign),
+        2 => (0..TASKS).prop_map(Op::Unassign),
+        6 => delivery().prop_map(Op::Call),
+        5 => prop::bool::weighted(0.8).prop_map(|answered| Op::Poll { answered }),
+        2 => (20_u64..900).prop_map(Op::SlowPoll),
         1 => Just(Op::RestartAgent),
         1 => (0..TASKS).prop_map(Op::Fail),
     ]
 }
 
-/// A worker after the published protocol; its clock is 2% slow.
+/// A worker that follows the published protocol; its clock runs 2% slow.
 #[derive(Default)]
 struct Worker {
     lease_until: u64,
     /// Runs with the time at which a stop ends them.
     running: BTreeMap<RunKey, Option<u64>>,
-    highest_over: BTreeMap<Task, u64>,
+    highest_ended: BTreeMap<Task, u64>,
     ended: Vec<End>,
-    ends: u64,
+    end_count: u64,
 }
 
 fn clock(now: u64) -> u64 {
@@ -93,9 +95,9 @@
 }
 
 impl Worker {
-    fn settle(&mut self, now: u64) {
+    fn end_due_runs(&mut self, now: u64) {
         let lapsed = clock(now) > self.lease_until;
-        let over: Vec<(RunKey, EndReason)> = self
+        let ended_runs: Vec<(RunKey, EndReason)> = self
             .running
             .iter()
             .filter_map(|(key, stop)| match stop {
@@ -104,42 +106,42 @@
                 _ => None,
             })
             .collect();
-        for (key, how) in over {
-            self.end(&key, how);
+        for (key, reason) in ended_runs {
+            self.end(&key, reason);
         }
     }
 
-    fn end(&mut self, key: &RunKey, how: EndReason) {
+    fn end(&mut self, key: &RunKey, reason: EndReason) {
         if self.running.remove(key).is_some() {
-            self.ends += 1;
+            self.end_count += 1;
             let (task, run) = key.clone();
-            self.ended.push(End { number: self.ends, task, run, reason: how, saved: String::new() });
-            self.reject(key);
+            self.ended.push(End { number: self.end_count, task, run, reason, saved: String::new() });
+            self.reject_up_to(key);
         }
     }
 
-    fn reject(&mut self, (task, run): &RunKey) {
-        let highest = self.highest_over.entry(task.clone()).or_default();
+    fn reject_up_to(&mut self, (task, run): &RunKey) {
+        let highest = self.highest_ended.entry(task.clone()).or_default();
         *highest = (*highest).max(*run);
     }
 
-    /// Returns whether the run is there now.
+    /// Returns whether the run is on the worker now.
     fn start(&mut self, now: u64, key: &RunKey, lease_end: u64) -> bool {
         if lease_end < clock(now) {
             return false;
         }
         self.lease_until = self.lease_until.max(lease_end.min(clock(now) + LONGEST_LEASE_MS));
-        let old = self.highest_over.get(&key.0).is_some_and(|over| key.1 <= *over);
-        if !old {
+        let outdated = self.highest_ended.get(&key.0).is_some_and(|highest| key.1 <= *highest);
+        if !outdated {
             self.running.entry(key.clone()).or_insert(None);
         }
-        !old
+        !outdated
     }
 
     fn stop(&mut self, now: u64, key: &RunKey) {
         match self.running.get_mut(key) {
             Some(stop) => _ = stop.get_or_insert(now + STOP_MS),
-            None => self.reject(key),
+            None => self.reject_up_to(key),
         }
     }
 
@@ -156,106 +158,112 @@
     }
 }
 
-/// Orders on their way that are carried out late.
-enum LateOrder {
+/// Starts and stops in flight that are executed late.
+enum LateCall {
     Start(RunKey, u64),
     Stop(RunKey),
 }
 
 struct History {
     now: u64,
-    watched: Watched,
-    agent_life: u64,
+    agent: WorkerState,
+    agent_incarnation: u64,
     seq: u64,
     worker: Worker,
-    late: Vec<(u64, LateOrder)>,
-    /// Answers on their way: when they arrive, the look's number, and the agent's life that waits.
-    slow_looks: Vec<(u64, u64, u64, Listing)>,
-    /// Newest run of each subtask, and whether it is wanted to run.
-    wanted: BTreeMap<Task, (u64, bool)>,
-    seen: u64,
+    late: Vec<(u64, LateCall)>,
+    /// Poll answers in flight: arrival time, the poll's number, the agent's incarnation that waits, and the listing.
+    slow_polls: Vec<(u64, u64, u64, Listing)>,
+    /// Newest run of each subtask, and whether it should run.
+    assigned: BTreeMap<Task, (u64, bool)>,
+    acknowledged: u64,
     number: u64,
-    gone: BTreeSet<RunKey>,
+    absent: BTreeSet<RunKey>,
 }
 
 impl History {
     fn new() -> Self {
         let mut history = Self {
             now: 0,
-            watched: Watched::new(LONGEST_LEASE_MS, STOP_MS),
-            agent_life: 1,
+            agent: WorkerState::new(LONGEST_LEASE_MS, STOP_MS),
+            agent_incarnation: 1,
             seq: 0,
             worker: Worker::default(),
             late: Vec::new(),
-            slow_looks: Vec::new(),
-            wanted: BTreeMap::new(),
-            seen: 0,
+            slow_polls: Vec::new(),
+            assigned: BTreeMap::new(),
+            acknowledged: 0,
             number: 0,
-            gone: BTreeSet::new(),
+            absent: BTreeSet::new(),
         };
         history.announce();
         history
     }
 
     fn announce(&mut self) {
-        let info = WorkerInfo { incarnation: LIFE.to_owned(), ..WorkerInfo::default() };
-        self.watched.announce(self.now, Announcement { info, sequence: 1 + self.now });
+        let info = WorkerInfo { incarnation: INCARNATION.to_owned(), ..WorkerInfo::default() };
+        self.agent.apply_announcement(self.now, Announcement { info, sequence: 1 + self.now });
     }
 
     fn task(index: u32) -> Task {
         Task { job: "00000000000000a1".to_owned(), occurrence: 0, step: 0, index }
     }
 
-    /// Moves time on in small steps, so that late orders and ends come in their order.
+    /// Advances time in small steps, so that late calls and ends take effect in order.
     fn wait(&mut self, ms: u64) {
         for _ in 0..ms.div_ceil(20) {
             self.now += 20;
             let (due, rest) = std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= self.now);
             self.late = rest;
-            let due: Vec<(u64, LateOrder)> = due;
-            for (_, order) in due {
-                match order {
-                    LateOrder::Start(key, lease_end) => _ = self.worker.start(self.now, &key, lease_end),
-                    LateOrder::Stop(key) => self.worker.stop(self.now, &key),
+            let due: Vec<(u64, LateCall)> = due;
+            for (_, call) in due {
+                match call {
+                    LateCall::Start(key, lease_end) => _ = self.worker.start(self.now, &key, lease_end),
+                    LateCall::Stop(key) => self.worker.stop(self.now, &key),
                 }
             }
-            self.worker.settle(self.now);
+            self.worker.end_due_runs(self.now);
             let (due, rest) =
-                std::mem::take(&mut self.slow_looks).into_iter().partition(|look| look.0 <= self.now);
-            self.slow_looks = rest;
+                std::mem::take(&mut self.slow_polls).into_iter().partition(|poll| poll.0 <= self.now);
+            self.slow_polls = rest;
             let due: Vec<(u64, u64, u64, Listing)> = due;
-            for (_, number, life, listing) in due {
-                if life == self.agent_life {
-                    self.watched.take_listing(self.now, number, LIFE, listing);
+            for (_, number, incarnation, listing) in due {
+                if incarnation == self.agent_incarnation {
+                    self.agent.apply_listing(self.now, number, INCARNATION, listing);
                 }
             }
-            self.watched.lapse(self.now);
-            self.check();
+            self.agent.expire_leases(self.now);
+            self.check_absent_runs();
         }
     }
 
-    /// Checks that nothing that was called gone is there.
-    fn check(&mut self) {
-        let report = self.watched.report("agent", self.agent_life, self.seq);
-        self.gone.extend(report.not_started.iter().map(|gone| (gone.task.clone(), gone.run)));
-        let there: Vec<&RunKey> = self.worker.running.keys().filter(|key| self.gone.contains(*key)).collect();
-        assert!(there.is_empty(), "at {} ms: called gone, but there: {there:?}", self.now);
+    /// Checks that no run that must be absent is on the worker.
+    fn check_absent_runs(&mut self) {
+        let report = self.agent.build_report("agent", self.agent_incarnation, self.seq);
+        self.absent.extend(report.not_started.iter().map(|run| (run.task.clone(), run.run)));
+        let present: Vec<&RunKey> =
+            self.worker.running.keys().filter(|key| self.absent.contains(*key)).collect();
+        assert!(
+            present.is_empty(),
+            "at {} ms: reported as not started or ended, but on the worker: {present:?}",
+            self.now
+        );
     }
 
     fn report(&mut self, answered: bool) {
         self.seq += 1;
-        let report = self.watched.report("agent", self.agent_life, self.seq);
-        self.check();
-        let seen = self.seen;
-        for end in report.ended.iter().filter(|end| end.number > seen) {
+        let report = self.agent.build_report("agent", self.agent_incarnation, self.seq);
+        self.check_absent_runs();
+        let acknowledged = self.acknowledged;
+        for end in report.ended.iter().filter(|end| end.number > acknowledged) {
             self.release(&end.task, end.run);
-            self.seen = end.number;
+            self.acknowledged = end.number;
         }
-        for gone in &report.not_started {
-            self.release(&gone.task, gone.run);
+        for run in &report.not_started {
+            self.release(&run.task, run.run);
         }
-        let shown = |task: &Task, run: u64| report.running.iter().any(|r| r.task == *task && r.run == run);
-        let placed = |wanted: bool| self.wanted.iter().filter(move |(_, (_, wants))| *wants == wanted);
+        let listed = |task: &Task, run: u64| report.running.iter().any(|r| r.task == *task && r.run == run);
+        let filter_assigned =
+            |should_run: bool| self.assigned.iter().filter(move |(_, (_, runs))| *runs == should_run);
         let start = |(task, (run, _)): (&Task, &(u64, bool))| Start {
             task: task.clone(),
             run: *run,
@@ -263,108 +271,111 @@
             saved: String::new(),
             ticket: None,
         };
-        let starts = placed(true).filter(|(task, (run, _))| !shown(task, *run)).map(start).collect();
+        let starts =
+            filter_assigned(true).filter(|(task, (run, _))| !listed(task, *run)).map(start).collect();
         let mut stops: Vec<Stop> =
-            placed(false).map(|(task, (run, _))| Stop { task: task.clone(), run: *run }).collect();
-        let strays = report.running.iter().filter(|r| self.wanted.get(&r.task).is_none_or(|w| w.0 != r.run));
-        stops.extend(strays.map(|r| Stop { task: r.task.clone(), run: r.run }));
+            filter_assigned(false).map(|(task, (run, _))| Stop { task: task.clone(), run: *run }).collect();
+        let unexpected =
+            report.running.iter().filter(|r| self.assigned.get(&r.task).is_none_or(|known| known.0 != r.run));
+        stops.extend(unexpected.map(|r| Stop { task: r.task.clone(), run: r.run }));
         if answered {
             self.number += 1;
-            let (life, number, seen) = (LIFE.to_owned(), self.number, self.seen);
-            let orders = Assignments {
-                incarnation: life,
+            let (incarnation, number, acknowledged) =
+                (INCARNATION.to_owned(), self.number, self.acknowledged);
+            let assignments = Assignments {
+                incarnation,
                 number,
                 grant_ms: GRANT_MS,
                 starts,
                 stops,
                 paces: Vec::new(),
-                acknowledged: seen,
+                acknowledged,
             };
-            self.watched.take_orders(self.now, 1, Some(orders));
+            self.agent.apply_assignments(self.now, 1, Some(assignments));
         }
     }
 
-    /// The planner takes a run for over.
+    /// The planner records that a run has ended or was not started.
     fn release(&mut self, task: &Task, run: u64) {
-        if self.wanted.get(task).is_some_and(|(newest, _)| *newest == run) {
-            self.wanted.remove(task);
-            self.gone.insert((task.clone(), run));
+        if self.assigned.get(task).is_some_and(|(newest, _)| *newest == run) {
+            self.assigned.remove(task);
+            self.absent.insert((task.clone(), run));
         }
     }
 
-    fn order(&mut self, fate: Fate) {
-        if let Some(stop) = self.watched.stops(self.now).first().cloned() {
+    fn send_due_call(&mut self, delivery: Delivery) {
+        if let Some(stop) = self.agent.due_stops(self.now).first().cloned() {
             let key = (stop.task.clone(), stop.run);
-            match fate {
-                Fate::Answered => {
+            match delivery {
+                Delivery::Answered => {
                     self.worker.stop(self.now, &key);
-                    self.watched.note_stopped(LIFE, &stop, self.now);
-                    self.watched.note_final(LIFE, &stop.task, stop.run, "stopped");
+                    self.agent.record_stop_answer(INCARNATION, &stop, self.now);
+                    self.agent.expect_absence(INCARNATION, &stop.task, stop.run, "stopped");
                 }
-                Fate::AnswerLost => self.worker.stop(self.now, &key),
-                Fate::Late(ms) => self.late.push((self.now + ms, LateOrder::Stop(key))),
-                Fate::Lost => (),
+                Delivery::AnswerLost => self.worker.stop(self.now, &key),
+                Delivery::Late(ms) => self.late.push((self.now + ms, LateCall::Stop(key))),
+                Delivery::Lost => (),
             }
             return;
         }
-        if !self.watched.has_clock() {
+        if !self.agent.has_clock() {
             return;
         }
-        let Some(start) = self.watched.starts(self.now).first().cloned() else { return };
-        let Some(lease_end) = self.watched.extend(self.now) else { return };
-        self.watched.note_tried(&start);
+        let Some(start) = self.agent.due_starts(self.now).first().cloned() else { return };
+        let Some(lease_end) = self.agent.extend_lease(self.now) else { return };
+        self.agent.record_start_attempt(&start);
         let key = (start.task.clone(), start.run);
-        match fate {
-            Fate::Answered => match self.worker.start(self.now, &key, lease_end) {
+        match delivery {
+            Delivery::Answered => match self.worker.start(self.now, &key, lease_end) {
                 true => {
-                    self.watched.note_clock(self.now, clock(self.now));
-                    self.watched.note_started(LIFE, &start, clock(self.now));
+                    self.agent.record_clock(self.now, clock(self.now));
+                    self.agent.record_start(INCARNATION, &start, clock(self.now));
                 }
-                false => self.watched.note_final(LIFE, &start.task, start.run, "refused"),
+                false => self.agent.expect_absence(INCARNATION, &start.task, start.run, "refused"),
             },
-            Fate::AnswerLost => _ = self.worker.start(self.now, &key, lease_end),
-            Fate::Late(ms) => self.late.push((self.now + ms, LateOrder::Start(key, lease_end))),
-            Fate::Lost => (),
+            Delivery::AnswerLost => _ = self.worker.start(self.now, &key, lease_end),
+            Delivery::Late(ms) => self.late.push((self.now + ms, LateCall::Start(key, lease_end))),
+            Delivery::Lost => (),
         }
     }
 
-    /// Looks at the worker; the answer arrives at once, later, or never.
-    fn look(&mut self, arrives_in: Option<u64>) {
-        let (number, seen) = (self.watched.begin_look(), self.watched.seen());
-        if let Some(lease_end) = self.watched.extend(self.now) {
-            let most = clock(self.now) + LONGEST_LEASE_MS;
-            self.worker.lease_until = self.worker.lease_until.max(lease_end.min(most));
+    /// Polls the worker; the answer arrives at once, later, or never.
+    fn poll(&mut self, arrives_in: Option<u64>) {
+        let (number, acknowledged) = (self.agent.begin_poll(), self.agent.acknowledged());
+        if let Some(lease_end) = self.agent.extend_lease(self.now) {
+            let max_end = clock(self.now) + LONGEST_LEASE_MS;
+            self.worker.lease_until = self.worker.lease_until.max(lease_end.min(max_end));
         }
-        self.worker.ended.retain(|end| end.number > seen);
+        self.worker.ended.retain(|end| end.number > acknowledged);
         let listing = self.worker.listing(self.now);
         match arrives_in {
-            Some(0) => _ = self.watched.take_listing(self.now, number, LIFE, listing),
-            Some(ms) => self.slow_looks.push((self.now + ms, number, self.agent_life, listing)),
+            Some(0) => _ = self.agent.apply_listing(self.now, number, INCARNATION, listing),
+            Some(ms) => self.slow_polls.push((self.now + ms, number, self.agent_incarnation, listing)),
             None => (),
         }
     }
 
-    fn play(&mut self, op: &Op) {
+    fn apply(&mut self, op: &Op) {
         match op {
             Op::Wait(ms) => self.wait(*ms),
             Op::Report { answered } => self.report(*answered),
-            Op::Want(index) => {
+            Op::Assign(index) => {
                 let task = Self::task(*index);
                 let next =
-                    1 + self.gone.iter().filter(|key| key.0 == task).map(|key| key.1).max().unwrap_or(0);
-                self.wanted.entry(task).or_insert((next, true));
+                    1 + self.absent.iter().filter(|key| key.0 == task).map(|key| key.1).max().unwrap_or(0);
+                self.assigned.entry(task).or_insert((next, true));
             }
-            Op::Unwant(index) => {
-                if let Some(wanted) = self.wanted.get_mut(&Self::task(*index)) {
-                    wanted.1 = false;
+            Op::Unassign(index) => {
+                if let Some(assigned) = self.assigned.get_mut(&Self::task(*index)) {
+                    assigned.1 = false;
                 }
             }
-            Op::Order(fate) => self.order(*fate),
-            Op::Look { answered } => self.look(answered.then_some(0)),
-            Op::SlowLook(ms) => self.look(Some(*ms)),
+            Op::Call(delivery) => self.send_due_call(*delivery),
+            Op::Poll { answered } => self.poll(answered.then_some(0)),
+            Op::SlowPoll(ms) => self.poll(Some(*ms)),
             Op::RestartAgent => {
-                self.watched = Watched::new(LONGEST_LEASE_MS, STOP_MS);
-                self.agent_life += 1;
+                self.agent = WorkerState::new(LONGEST_LEASE_MS, STOP_MS);
+                self.agent_incarnation += 1;
                 self.announce();
             }
             Op::Fail(index) => {
@@ -374,43 +385,44 @@
                 }
             }
         }
-        self.check();
+        self.check_absent_runs();
     }
 }
 
-fn play(ops: &[Op]) {
+fn run_history(ops: &[Op]) {
     let mut history = History::new();
     for op in ops {
-        history.play(op);
+        history.apply(op);
     }
-    // Whatever is still on its way arrives.
+    // Everything still in flight arrives.
     history.wait(14_000);
 }
 
 #[test]
-fn report_calls_nothing_gone_that_is_there() {
+fn build_report_omits_runs_on_the_worker() {
     let config = Config { cases: 1_000, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let histories = prop::collection::vec(op(), 1..60);
-    let played = runner.run(&histories, |ops| {
-        play(&ops);
+    let result = runner.run(&histories, |ops| {
+        run_history(&ops);
         Ok(())
     });
-    played.unwrap();
+    result.unwrap();
 }
 
-/// A look that showed the worker before a run was there, in the same millisecond as the answer to its stop.
+/// Guards against taking a run for not started because of a poll that showed the worker before the run arrived. The
+/// poll begins in the same millisecond as the answer to the stop, so clocks can't order the two.
 #[test]
-fn report_calls_nothing_gone_by_a_look_of_the_same_millisecond() {
-    play(&[
-        Op::Look { answered: true },
-        Op::SlowLook(20),
-        Op::Want(0),
+fn build_report_ignores_a_poll_of_the_same_millisecond() {
+    run_history(&[
+        Op::Poll { answered: true },
+        Op::SlowPoll(20),
+        Op::Assign(0),
         Op::Report { answered: true },
-        Op::Unwant(0),
-        Op::Order(Fate::Answered),
+        Op::Unassign(0),
+        Op::Call(Delivery::Answered),
         Op::Report { answered: true },
-        Op::Order(Fate::Answered),
+        Op::Call(Delivery::Answered),
         Op::Wait(1),
     ]);
 }
