--- a/crates/control/src/agent.rs
+++ b/crates/control/src/agent.rs
@@ -18,7 +18,7 @@
 use crate::clock::now_ms;
 use crate::duty::{CLAIMS, Office};
 use crate::lease::WorkerState;
-use crate::signals::{self, stopped};
+use crate::signals::{self, wait_for_stop};
 use crate::{Error as RunError, Result, follow, lock, metrics, reload};
 
 /// Wait of one read of the claims. Long, because there are many agents and they also learn of the leader from
@@ -76,10 +76,10 @@
 pub async fn run(settings: Settings, path: PathBuf, metrics_port: Option<u16>) -> Result<()> {
     let listen = settings.announcements.ok_or(RunError::Missing("the address for announcements"))?;
     let worker = settings.worker.ok_or(RunError::Missing("the address of the worker"))?;
-    let asked = signals::listen();
-    tokio::spawn(reload::watch(path, settings.clone(), asked.clone()));
-    let show = Arc::new(|_| async { metrics::text() }.boxed());
-    crate::entry::serve_metrics(&settings, metrics_port, show)?;
+    let signal_state = signals::listen();
+    tokio::spawn(reload::watch_settings(path, settings.clone(), signal_state.clone()));
+    let handle_metrics = Arc::new(|_| async { metrics::render() }.boxed());
+    crate::entry::serve_metrics(&settings, metrics_port, handle_metrics)?;
     let store = Store::new(&settings.store);
     let agent = Arc::new(Agent {
         incarnation: rand::random(),
@@ -108,7 +108,7 @@
     tokio::spawn(agent.clone().run_dispatch());
     tokio::spawn(agent.clone().run_polls());
     tokio::spawn(agent.clone().run_reports());
-    stopped(asked).await;
+    wait_for_stop(signal_state).await;
     // The worker keeps its leases until the next incarnation of this agent extends them.
     log::info!("event=stopping role=agent instance={}", agent.settings.instance);
     if let Err(e) = server.close().await {
--- a/crates/control/src/callers.rs
+++ b/crates/control/src/callers.rs
@@ -43,7 +43,7 @@
             Method::DELETE => "cancel",
             _ => "ask",
         };
-        metrics::request(what, answer.status, began);
+        metrics::record_request(what, answer.status, began);
         answer
     }
 
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -22,7 +22,7 @@
 use crate::clock::now_ms;
 use crate::duty::{self, ALONE_MS, CLAIMS, Office};
 use crate::seat::Seat;
-use crate::signals::{self, stopped};
+use crate::signals::{self, wait_for_stop};
 use crate::{Error, Result, follow, lock, metrics, reload};
 
 /// Topic and key of the desired state.
@@ -87,7 +87,7 @@
     let callers = settings.callers.ok_or(Error::Missing("the address for callers"))?;
     let readiness = settings.readiness.ok_or(Error::Missing("the address for readiness checks"))?;
     let asked = signals::listen();
-    tokio::spawn(reload::watch(path, settings.clone(), asked.clone()));
+    tokio::spawn(reload::watch_settings(path, settings.clone(), asked.clone()));
     let store = Store::new(&settings.store);
     let address = settings.peer_address();
     let listener = TcpListener::bind(&address).await?;
@@ -105,7 +105,7 @@
         leaving: watch::Sender::new(false),
     });
     let operators = entry.clone();
-    let show = Arc::new(move |call| operators.clone().show(call).boxed());
+    let show = Arc::new(move |call| operators.clone().answer_operator(call).boxed());
     serve_metrics(&entry.settings, metrics_port, show)?;
     let ready = {
         let entry = entry.clone();
@@ -127,7 +127,7 @@
     tokio::spawn(entry.clone().follow_claims(store.clone()));
     tokio::spawn(entry.clone().run_pings());
     tokio::spawn(entry.clone().run_office(store.clone()));
-    stopped(asked).await;
+    wait_for_stop(asked).await;
     log::info!("event=stopping role=entry instance={}", entry.me.instance);
     entry.leaving.send_replace(true);
     let closing = async {
@@ -250,7 +250,7 @@
         });
         if taken {
             *lock(&self.raw_desired) = value.to_vec();
-            metrics::level("desired_version", desired.version);
+            metrics::set_level("desired_version", desired.version);
             log::info!(
                 "event=desired_in_force version={} queues={} accounts={} from=\"{from}\"",
                 desired.version,
--- a/crates/control/src/logging.rs
+++ b/crates/control/src/logging.rs
@@ -1,4 +1,4 @@
-//! Structured logs on standard output: bounded, and never waited for.
+//! Structured logs on standard output, through a bounded queue that never blocks the caller.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,37 +17,38 @@
 /// Result of setting up the logs.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Pattern of a line: time, level, then `key=value` pairs beginning with the event.
-const PATTERN: &str = "ts={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} {m}{n}";
+/// Time, level, then `key=value` pairs that begin with the event.
+const LINE_PATTERN: &str = "ts={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} {m}{n}";
 
-/// Lines that wait for standard output at most: a second of the busiest process.
-const LINES_WAITING: usize = 2_000;
+/// Longest queue for standard output: one second of output of the busiest process.
+const MAX_QUEUED_LINES: usize = 2_000;
 
 /// Why the logs could not be set up.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// The configuration was refused.
+    /// The configuration is invalid.
     Config(log4rs::config::runtime::ConfigErrors),
-    /// A logger was set before.
-    Set(log::SetLoggerError),
+    /// Another logger is already set.
+    SetLogger(log::SetLoggerError),
     /// The writing thread could not be started.
     Thread(std::io::Error),
 }
 
-/// Hands lines to a thread; what does not fit is counted, and told with the next line that does.
+/// Queues lines for a thread that writes them. Lines that don't fit are dropped and counted; the next line that
+/// fits carries the count.
 #[derive(Debug)]
-struct Bounded {
+struct BoundedAppender {
     encoder: PatternEncoder,
     tx: SyncSender<Vec<u8>>,
     suppressed: AtomicU64,
 }
 
-impl Append for Bounded {
+impl Append for BoundedAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let mut line = Vec::with_capacity(200);
         self.encoder.encode(&mut SimpleWriter(&mut line), record)?;
         if let Some(name) = event_name(&line) {
-            metrics::event(name);
+            metrics::count_event(name);
         }
         let suppressed = self.suppressed.swap(0, Ordering::Relaxed);
         if suppressed > 0 {
@@ -64,7 +65,7 @@
     fn flush(&self) {}
 }
 
-/// Returns the name of the event that a line tells.
+/// Returns the value of `event=` in a line.
 fn event_name(line: &[u8]) -> Option<&str> {
     let text = std::str::from_utf8(line).ok()?;
     text.split(" event=").nth(1)?.split_whitespace().next()
@@ -74,19 +75,20 @@
 ///
 /// # Errors
 ///
-/// Returns why the logs could not be set up.
+/// Fails if the configuration is invalid, a logger is already set or the thread can't be started.
 pub fn init(level: LevelFilter) -> Result<()> {
-    let (tx, rx) = sync_channel::<Vec<u8>>(LINES_WAITING);
+    let (tx, rx) = sync_channel::<Vec<u8>>(MAX_QUEUED_LINES);
     std::thread::Builder::new().name("log".to_owned()).spawn(move || {
-        let mut out = std::io::stdout();
+        let mut stdout = std::io::stdout();
         for line in rx {
-            // Nobody is left to be told when standard output is closed.
-            let _ = out.write_all(&line).and_then(|()| out.flush());
+            // Write errors can't be reported anywhere once standard output is closed.
+            let _ = stdout.write_all(&line).and_then(|()| stdout.flush());
         }
     })?;
-    let bounded = Bounded { encoder: PatternEncoder::new(PATTERN), tx, suppressed: AtomicU64::new(0) };
+    let appender =
+        BoundedAppender { encoder: PatternEncoder::new(LINE_PATTERN), tx, suppressed: AtomicU64::new(0) };
     let config = Config::builder()
-        .appender(Appender::builder().build("stdout", Box::new(bounded)))
+        .appender(Appender::builder().build("stdout", Box::new(appender)))
         .logger(log4rs::config::Logger::builder().build("tarpc", LevelFilter::Error))
         .build(Root::builder().appender("stdout").build(level))?;
     log4rs::init_config(config)?;
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of a process, served as text.
+//! Counters, gauges and latency histograms of a process, served as text.
 
 use std::net::SocketAddr;
 use std::sync::OnceLock;
@@ -14,25 +14,25 @@
 /// Result of serving metrics.
 pub type Result<T> = serve::Result<T>;
 
-/// Boundaries of latencies in seconds: from a local answer to the longest wait of a caller.
-const LATENCY_BOUNDS: [f64; 12] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 1.5, 2.0, 3.0];
+/// Bucket boundaries, from a local answer to the longest wait of a caller.
+const LATENCY_BUCKETS_S: [f64; 12] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 1.5, 2.0, 3.0];
 
 struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
     events: Counter<u64>,
-    requests: Histogram<f64>,
-    appends: Histogram<f64>,
+    request_seconds: Histogram<f64>,
+    append_seconds: Histogram<f64>,
     levels: Gauge<u64>,
 }
 
 static METRICS: OnceLock<Metrics> = OnceLock::new();
 
-/// Sets the instruments of this process up and serves them at `address`, by `handler`.
+/// Sets up the instruments of this process and starts `handler` at `address`, which serves them.
 ///
 /// # Errors
 ///
-/// Returns why the address could not be bound.
+/// Fails if the address can't be bound.
 pub fn serve(address: SocketAddr, handler: Handler) -> Result<()> {
     let registry = Registry::new();
     let exporter = match opentelemetry_prometheus::exporter().with_registry(registry.clone()).build() {
@@ -45,17 +45,17 @@
     let provider = SdkMeterProvider::builder().with_reader(exporter).build();
     let meter = provider.meter("sorrelland");
     let latency = |name: &'static str| {
-        meter.f64_histogram(name).with_boundaries(LATENCY_BOUNDS.to_vec()).with_unit("s").build()
+        meter.f64_histogram(name).with_boundaries(LATENCY_BUCKETS_S.to_vec()).with_unit("s").build()
     };
     let metrics = Metrics {
         events: meter.u64_counter("sorrelland_events").build(),
-        requests: latency("sorrelland_request_seconds"),
-        appends: latency("sorrelland_append_seconds"),
+        request_seconds: latency("sorrelland_request_seconds"),
+        append_seconds: latency("sorrelland_append_seconds"),
         levels: meter.u64_gauge("sorrelland_level").build(),
         registry,
         _provider: provider,
     };
-    // A second call would be a fault of the caller; the first instruments stay.
+    // A second call is a bug of the caller; the first instruments stay.
     let _ = METRICS.set(metrics);
     let server = serve::start(address, handler)?;
     tokio::spawn(async move {
@@ -66,8 +66,8 @@
     Ok(())
 }
 
-/// Returns the metrics of this process as text.
-pub(crate) fn text() -> Answer {
+/// Answers with the metrics of this process in the Prometheus text format.
+pub(crate) fn render() -> Answer {
     let Some(metrics) = METRICS.get() else { return Answer::new(StatusCode::SERVICE_UNAVAILABLE) };
     match TextEncoder::new().encode_to_string(&metrics.registry.gather()) {
         Ok(text) => Answer { body: text, ..Answer::new(StatusCode::OK) },
@@ -78,30 +78,32 @@
     }
 }
 
-/// Counts an event of the logs by its name.
-pub fn event(name: &str) {
+/// Counts a logged event by its name.
+pub fn count_event(name: &str) {
     if let Some(metrics) = METRICS.get() {
         metrics.events.add(1, &[KeyValue::new("event", name.to_owned())]);
     }
 }
 
 /// Records how long the answer to a request took.
-pub fn request(what: &'static str, status: StatusCode, began: Instant) {
+pub fn record_request(operation: &'static str, status: StatusCode, started_at: Instant) {
     if let Some(metrics) = METRICS.get() {
-        let labels = [KeyValue::new("what", what), KeyValue::new("status", i64::from(status.as_u16()))];
-        metrics.requests.record(began.elapsed().as_secs_f64(), &labels);
+        let labels = [KeyValue::new("what", operation), KeyValue::new("status", i64::from(status.as_u16()))];
+        metrics.request_seconds.record(started_at.elapsed().as_secs_f64(), &labels);
     }
 }
 
 /// Records how long an append to the store took, by its outcome.
-pub fn append(outcome: &'static str, began: Instant) {
+pub fn record_append(outcome: &'static str, started_at: Instant) {
     if let Some(metrics) = METRICS.get() {
-        metrics.appends.record(began.elapsed().as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
+        metrics
+            .append_seconds
+            .record(started_at.elapsed().as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
     }
 }
 
-/// Sets a level, such as the number of jobs that wait or the version of the desired state.
-pub fn level(name: &'static str, value: u64) {
+/// Sets a gauge, such as the number of live jobs or the version of the desired state.
+pub fn set_level(name: &'static str, value: u64) {
     if let Some(metrics) = METRICS.get() {
         metrics.levels.record(value, &[KeyValue::new("of", name)]);
     }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,4 +1,4 @@
-//! What an entry shows to operators, on the address of its metrics.
+//! Views that an entry serves to operators, on the address of its metrics.
 
 use std::sync::Arc;
 
@@ -11,34 +11,34 @@
 use crate::entry::Entry;
 use crate::metrics;
 
-/// Path below which the views lie.
-const VIEWS: &str = "/show/";
+const VIEW_PATH_PREFIX: &str = "/show/";
 
 impl Entry {
-    /// Answers an operator: a view from the planner, or else this process's metrics.
-    pub(crate) async fn show(self: Arc<Self>, call: Call) -> Answer {
-        let Some(view) = call.path.strip_prefix(VIEWS) else { return metrics::text() };
+    /// Answers an operator's call with a view of the planner, or with this process's metrics on any other path.
+    pub(crate) async fn answer_operator(self: Arc<Self>, call: Call) -> Answer {
+        let Some(view) = call.path.strip_prefix(VIEW_PATH_PREFIX) else { return metrics::render() };
         if call.method != Method::GET {
             return Answer::new(StatusCode::METHOD_NOT_ALLOWED);
         }
-        let Some(query) = query(view) else {
-            let known = "jobs, workers, accounts, refused, burn, why/JOB";
-            let body = serde_json::json!({"error": format!("no view {view:?}; known are {known}")});
+        let Some(query) = parse_query(view) else {
+            let available = "jobs, workers, accounts, refused, burn, why/JOB";
+            let body =
+                serde_json::json!({"error": format!("unknown view {view:?}; available views: {available}")});
             return Answer::new(StatusCode::NOT_FOUND).with_json(&body);
         };
         match self.ask(Ask::Show(query), &call).await {
             Asked::Told(Told::Shown(body)) => Answer { body, ..Answer::new(StatusCode::OK) },
-            asked => {
-                log::info!("event=unanswered what=show view={view} asked={asked:?}");
-                let body = serde_json::json!({"error": "no planner answers"});
+            result => {
+                log::info!("event=unanswered what=show view={view} asked={result:?}");
+                let body = serde_json::json!({"error": "the planner did not answer"});
                 Answer::new(StatusCode::SERVICE_UNAVAILABLE).with_json(&body)
             }
         }
     }
 }
 
-/// Returns what a path below [`VIEWS`] asks for.
-fn query(view: &str) -> Option<Query> {
+/// Parses the part of a path after [`VIEW_PATH_PREFIX`]; `None` if there is no such view.
+fn parse_query(view: &str) -> Option<Query> {
     match view.trim_end_matches('/').split_once('/') {
         Some(("why", job)) if !job.is_empty() && !job.contains('/') => Some(Query::Explain(job.to_owned())),
         Some(_) => None,
--- a/crates/control/src/reload.rs
+++ b/crates/control/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a process runs.
+//! Detection of settings changes while a process runs.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,25 +6,29 @@
 use sorrelland_platform::Settings;
 use tokio::sync::watch;
 
-use crate::signals::Asked;
+use crate::signals::SignalState;
 
-/// Time between two looks at the settings file, which may change without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+/// Time between two checks of the settings file, which may change without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Tells of every change of the settings file. Addresses and bounds are used from the start of a process on, so a
-/// change of them is told as one that takes a restart; nothing else in the file is used.
-pub async fn watch(path: PathBuf, settings: Settings, mut asked: watch::Receiver<Asked>) {
-    let mut known = settings.clone();
+/// Logs every change of the settings file. Addresses and bounds are read at the start of a process, so a change of
+/// them is logged as one that takes a restart; nothing else in the file is used.
+pub async fn watch_settings(
+    path: PathBuf,
+    settings: Settings,
+    mut signal_state: watch::Receiver<SignalState>,
+) {
+    let mut current = settings.clone();
     loop {
-        let signalled = match tokio::time::timeout(LOOK_EVERY, asked.changed()).await {
+        let signalled = match tokio::time::timeout(CHECK_INTERVAL, signal_state.changed()).await {
             Ok(Ok(())) => true,
             Ok(Err(_)) => return,
             Err(_) => false,
         };
         match Settings::load(&path) {
-            Ok(read) if read != known => {
+            Ok(loaded) if loaded != current => {
                 log::warn!("event=settings_changed signalled={signalled} in_force=\"after the next start\"");
-                known = read;
+                current = loaded;
             }
             Ok(_) if signalled => log::info!("event=settings_reloaded signalled=true changed=false"),
             Ok(_) => (),
--- a/crates/control/src/seat.rs
+++ b/crates/control/src/seat.rs
@@ -132,9 +132,9 @@
             let mut planner = lock(&self.planner);
             planner.tick(now_ms(), wall_ms());
             let (heard, known) = planner.reporting_workers(now_ms());
-            metrics::level("workers_heard", heard as u64);
-            metrics::level("workers_known", known as u64);
-            metrics::level("jobs_live", planner.live_jobs() as u64);
+            metrics::set_level("workers_heard", heard as u64);
+            metrics::set_level("workers_known", known as u64);
+            metrics::set_level("jobs_live", planner.live_jobs() as u64);
             if planner.has_approval_requests() {
                 self.questions.notify_one();
             }
@@ -193,7 +193,7 @@
         while !self.is_over() {
             let began = Instant::now();
             let appended = store.append_as(JOBS, writer, part, patience.wait()).await;
-            metrics::append(outcome(&appended), began);
+            metrics::record_append(outcome(&appended), began);
             match &appended {
                 Err(e) if !e.nothing_done() => patience.note_missed(),
                 _ => patience.note(began.elapsed()),
--- a/crates/control/src/signals.rs
+++ b/crates/control/src/signals.rs
@@ -1,20 +1,20 @@
-//! Signals of a process.
+//! Signals that stop a process or announce new settings.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// What the platform asked for by signals.
+/// Requests received as signals from the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Asked {
-    /// Whether the process is to stop.
+pub struct SignalState {
+    /// Whether the process should stop.
     pub stop: bool,
-    /// Times that it was told of new settings.
-    pub reloads: u64,
+    /// Number of requests to reload the settings.
+    pub reload_count: u64,
 }
 
 /// Listens for signals until the process ends.
-pub fn listen() -> watch::Receiver<Asked> {
-    let (tx, rx) = watch::channel(Asked::default());
+pub fn listen() -> watch::Receiver<SignalState> {
+    let (tx, rx) = watch::channel(SignalState::default());
     for kind in [SignalKind::terminate(), SignalKind::interrupt(), SignalKind::hangup()] {
         let tx = tx.clone();
         tokio::spawn(async move {
@@ -23,9 +23,9 @@
                 Err(e) => return log::error!("event=no_signals kind={kind:?} cause=\"{e}\""),
             };
             while signals.recv().await.is_some() {
-                tx.send_modify(|asked| match kind == SignalKind::hangup() {
-                    true => asked.reloads += 1,
-                    false => asked.stop = true,
+                tx.send_modify(|state| match kind == SignalKind::hangup() {
+                    true => state.reload_count += 1,
+                    false => state.stop = true,
                 });
             }
         });
@@ -33,10 +33,10 @@
     rx
 }
 
-/// Waits until the process is to stop.
-pub async fn stopped(mut asked: watch::Receiver<Asked>) {
-    if asked.wait_for(|asked| asked.stop).await.is_err() {
-        // No sender is left, so no signal can come any more.
+/// Waits for a request to stop.
+pub async fn wait_for_stop(mut state: watch::Receiver<SignalState>) {
+    if state.wait_for(|state| state.stop).await.is_err() {
+        // All senders are dropped, so no signal can arrive any more.
         std::future::pending::<()>().await;
     }
 }
