--- a/crates/control/tests/patience.rs
+++ b/crates/control/tests/patience.rs
@@ -1,4 +1,4 @@
-//! Waiting for answers of the store.
+//! Adaptive time-out of calls to the store.
 
 use std::time::Duration;
 
@@ -6,21 +6,24 @@
 
 #[test]
 fn wait_is_short_while_answers_are_fast() {
-    let mut patience = Patience::default();
-    (0..20).for_each(|_| patience.note(Duration::from_millis(8)));
+    let mut timeout = Patience::default();
+    (0..20).for_each(|_| timeout.note(Duration::from_millis(8)));
     // Two lost answers in a row fit into the 3 s that callers wait.
-    let mut waited = patience.wait();
-    patience.note_missed();
-    waited += patience.wait();
+    let mut waited = timeout.wait();
+    timeout.note_missed();
+    waited += timeout.wait();
     assert!(waited < Duration::from_millis(1_500), "{waited:?}");
 }
 
 #[test]
-fn wait_outlasts_a_slow_store() {
-    let mut patience = Patience::default();
-    let slow = Duration::from_millis(480);
-    (0..4).for_each(|_| patience.note_missed());
-    assert!(patience.wait() > slow, "the first slow answer is reached by waiting longer each time");
-    (0..20).for_each(|_| patience.note(slow));
-    assert!(patience.wait() > 2 * slow);
+fn wait_exceeds_the_latency_of_a_slow_store() {
+    let mut timeout = Patience::default();
+    let latency = Duration::from_millis(480);
+    (0..4).for_each(|_| timeout.note_missed());
+    assert!(
+        timeout.wait() > latency,
+        "the time-out must grow with each miss until the first slow answer fits into it"
+    );
+    (0..20).for_each(|_| timeout.note(latency));
+    assert!(timeout.wait() > 2 * latency);
 }
--- a/crates/control/tests/seat.rs
+++ b/crates/control/tests/seat.rs
@@ -1,4 +1,4 @@
-//! The planner's office over a stand-in of the store.
+//! The planner's leadership over a stand-in of the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     Arc::new(Desired { version: 1, queues: vec![queue], keys: BTreeMap::new(), ..Desired::default() })
 }
 
-fn holder(epoch: u64, life: u64) -> Holder {
+fn leader(epoch: u64, life: u64) -> Holder {
     Holder { epoch, instance: format!("entry-{life}"), address: "127.0.0.1:1".to_owned(), life }
 }
 
@@ -46,69 +46,69 @@
     Submission { job: job.to_owned(), queue: "plain".to_owned(), steps: vec![step], ..Submission::default() }
 }
 
-async fn store() -> (String, Store) {
+async fn start_store() -> (String, Store) {
     let server = platform_store::start(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let address = server.local_addr().to_string();
     tokio::spawn(server);
     (address.clone(), Store::new(&address))
 }
 
-async fn faults(address: &str, faults: &'static str) {
+async fn set_faults(address: &str, faults: &'static str) {
     let client = Client::new(Duration::from_secs(2));
     let url = format!("http://{address}/v1/faults");
     client.send(Method::PUT, &url, &[], Bytes::from_static(faults.as_bytes())).await.unwrap();
 }
 
 #[tokio::test]
-async fn ask_does_not_deny_a_job_that_may_be_stored() {
-    let (address, store) = store().await;
-    let seat = Seat::take(&store, None, holder(1, 1), TIMING, desired()).await.unwrap();
-    faults(&address, r#"{"lose_every": 1}"#).await;
-    let asked = {
-        let seat = seat.clone();
+async fn ask_returns_unresolved_if_the_job_may_be_stored() {
+    let (address, store) = start_store().await;
+    let planner = Seat::take(&store, None, leader(1, 1), TIMING, desired()).await.unwrap();
+    set_faults(&address, r#"{"lose_every": 1}"#).await;
+    let answer = {
+        let planner = planner.clone();
         tokio::spawn(async move {
-            seat.ask(Ask::Submit(submission("00000000000000a1")), Duration::from_secs(3)).await
+            planner.ask(Ask::Submit(submission("00000000000000a1")), Duration::from_secs(3)).await
         })
     };
-    // The append is carried out without an answer, then another planner takes over.
+    // The append is executed without an answer, then another planner takes over.
     tokio::time::sleep(Duration::from_millis(200)).await;
-    faults(&address, "{}").await;
+    set_faults(&address, "{}").await;
     let next = Writer { producer: "planner".to_owned(), epoch: 2, sequence: 0 };
     store.append_as("keyed.jobs", &next, &[], CALL_TIMEOUT).await.unwrap();
-    assert_eq!(asked.await.unwrap(), Told::Unresolved);
-    assert!(seat.is_over());
-    let successor = Seat::take(&store, None, holder(3, 2), TIMING, desired()).await.unwrap();
-    let told = successor.ask(Ask::State("00000000000000a1".to_owned()), Duration::from_secs(1)).await;
-    assert!(matches!(told, Told::State(Some(_))), "{told:?}");
+    assert_eq!(answer.await.unwrap(), Told::Unresolved);
+    assert!(planner.is_over());
+    let successor = Seat::take(&store, None, leader(3, 2), TIMING, desired()).await.unwrap();
+    let reply = successor.ask(Ask::State("00000000000000a1".to_owned()), Duration::from_secs(1)).await;
+    assert!(matches!(reply, Told::State(Some(_))), "{reply:?}");
 }
 
 #[tokio::test]
-async fn claim_gives_way_to_one_that_came_first() {
-    let (_, store) = store().await;
-    let (one, other) = (Office::default(), Office::default());
-    let first = duty::claim(&store, &one, &holder(0, 1), 0).await.unwrap();
-    assert_eq!(duty::claim(&store, &other, &holder(0, 2), 0).await, None);
-    assert_eq!(other.epoch(), first.epoch, "the loser has learned of the winner");
-    let second = duty::claim(&store, &other, &holder(0, 2), first.epoch).await.unwrap();
+async fn claim_yields_to_an_earlier_claim() {
+    let (_, store) = start_store().await;
+    let (winner, loser) = (Office::default(), Office::default());
+    let first = duty::claim(&store, &winner, &leader(0, 1), 0).await.unwrap();
+    assert_eq!(duty::claim(&store, &loser, &leader(0, 2), 0).await, None);
+    assert_eq!(loser.epoch(), first.epoch, "the losing claimant knows the leader");
+    let second = duty::claim(&store, &loser, &leader(0, 2), first.epoch).await.unwrap();
     assert!(second.epoch > first.epoch);
 }
 
 #[tokio::test]
-async fn take_fences_the_writer_before() {
-    let (_, store) = store().await;
-    let old = Seat::take(&store, None, holder(1, 1), TIMING, desired()).await.unwrap();
-    let _new = Seat::take(&store, None, holder(2, 2), TIMING, desired()).await.unwrap();
-    let told = old.ask(Ask::Submit(submission("00000000000000a1")), Duration::from_secs(2)).await;
-    assert_ne!(told, Told::Accepted);
+async fn take_fences_the_previous_writer() {
+    let (_, store) = start_store().await;
+    let old = Seat::take(&store, None, leader(1, 1), TIMING, desired()).await.unwrap();
+    let _new = Seat::take(&store, None, leader(2, 2), TIMING, desired()).await.unwrap();
+    let reply = old.ask(Ask::Submit(submission("00000000000000a1")), Duration::from_secs(2)).await;
+    assert_ne!(reply, Told::Accepted);
     assert!(old.is_over());
 }
 
 #[test]
-fn is_over_counts_only_silence_that_was_seen() {
+fn is_over_counts_only_observed_silence() {
     let mut silence = Silence::default();
     silence.note_renewed(1_000);
     silence.note_lost();
-    assert!(!silence.is_over(60_000, false, 0), "an outage of the store supersedes nobody");
+    assert!(!silence.is_over(60_000, false, 0), "a store outage must not supersede the leader");
     silence.note_quiet(60_000);
     assert!(!silence.is_over(60_000 + duty::SILENT_MS - 1, false, 0));
     assert!(silence.is_over(60_000 + duty::SILENT_MS, false, 0));
@@ -119,41 +119,41 @@
 }
 
 #[test]
-fn is_over_needs_less_silence_of_a_holder_that_refuses() {
+fn is_over_needs_less_silence_of_a_refusing_leader() {
     let mut silence = Silence::default();
     silence.note_renewed(1_000);
     assert!(!silence.is_over(1_000 + duty::SILENT_AND_REFUSING_MS - 1, true, 0));
     assert!(silence.is_over(1_000 + duty::SILENT_AND_REFUSING_MS, true, 0));
     assert!(!silence.is_over(1_000 + duty::SILENT_AND_REFUSING_MS, false, 0));
     silence.note_lost();
-    assert!(!silence.is_over(60_000, true, 0), "an outage of the store supersedes nobody");
+    assert!(!silence.is_over(60_000, true, 0), "a store outage must not supersede the leader");
 }
 
 #[tokio::test]
-async fn wait_for_silence_ends_at_once_for_the_next_life_of_the_holder() {
-    let (_, store) = store().await;
-    let office = Office::default();
-    let held = duty::claim(&store, &office, &holder(0, 1), 0).await.unwrap();
-    duty::renew(&store, held.epoch, false).await.unwrap();
-    let next_life = Holder { epoch: 0, life: 2, ..held.clone() };
-    let waited = duty::wait_for_silence(&store, &office, &next_life, 0);
-    let epoch = tokio::time::timeout(Duration::from_millis(duty::SILENT_MS / 2), waited).await;
-    assert_eq!(epoch, Ok(held.epoch));
-    // Another instance waits for the silence.
-    let other = holder(0, 3);
-    let waited = duty::wait_for_silence(&store, &office, &other, 0);
-    assert!(tokio::time::timeout(Duration::from_millis(duty::SILENT_MS / 2), waited).await.is_err());
+async fn wait_for_silence_ends_at_once_for_the_next_incarnation() {
+    let (_, store) = start_store().await;
+    let leadership = Office::default();
+    let current = duty::claim(&store, &leadership, &leader(0, 1), 0).await.unwrap();
+    duty::renew(&store, current.epoch, false).await.unwrap();
+    let next_incarnation = Holder { epoch: 0, life: 2, ..current.clone() };
+    let waiting = duty::wait_for_silence(&store, &leadership, &next_incarnation, 0);
+    let epoch = tokio::time::timeout(Duration::from_millis(duty::SILENT_MS / 2), waiting).await;
+    assert_eq!(epoch, Ok(current.epoch));
+    // Another instance has to wait until the leader has not renewed for long enough.
+    let other = leader(0, 3);
+    let waiting = duty::wait_for_silence(&store, &leadership, &other, 0);
+    assert!(tokio::time::timeout(Duration::from_millis(duty::SILENT_MS / 2), waiting).await.is_err());
 }
 
 #[test]
-fn refuses_only_until_the_holder_answers() {
-    let office = Office::default();
-    office.note_refused(1);
-    assert!(!office.refuses(), "there is no holder yet");
-    office.learn(Some(holder(2, 1)));
-    assert!(!office.refuses(), "an older holder refused");
-    office.note_refused(2);
-    assert!(office.refuses());
-    office.note_answered(2);
-    assert!(!office.refuses());
+fn refuses_until_the_leader_answers() {
+    let leadership = Office::default();
+    leadership.note_refused(1);
+    assert!(!leadership.refuses(), "there is no leader yet");
+    leadership.learn(Some(leader(2, 1)));
+    assert!(!leadership.refuses(), "an earlier leader refused");
+    leadership.note_refused(2);
+    assert!(leadership.refuses());
+    leadership.note_answered(2);
+    assert!(!leadership.refuses());
 }
