--- a/crates/control/src/active_planner.rs
+++ b/crates/control/src/active_planner.rs
@@ -132,9 +132,9 @@
             let mut planner = lock(&self.planner);
             planner.tick(now_ms(), wall_ms());
             let (reporting, known) = planner.reporting_workers(now_ms());
-            metrics::level("workers_heard", reporting as u64);
-            metrics::level("workers_known", known as u64);
-            metrics::level("jobs_live", planner.live_jobs() as u64);
+            metrics::set_level("workers_heard", reporting as u64);
+            metrics::set_level("workers_known", known as u64);
+            metrics::set_level("jobs_live", planner.live_jobs() as u64);
             if planner.has_approval_requests() {
                 self.approval_requests.notify_one();
             }
@@ -193,7 +193,7 @@
         while !self.has_stepped_down() {
             let began = Instant::now();
             let appended = store.append_as(JOBS, writer, part, append_timeout.wait()).await;
-            metrics::append(append_outcome(&appended), began);
+            metrics::record_append(append_outcome(&appended), began);
             match &appended {
                 Err(e) if !e.nothing_done() => append_timeout.record_timeout(),
                 _ => append_timeout.record_reply(began.elapsed()),
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -24,7 +24,7 @@
 };
 use crate::clock::now_ms;
 use crate::election::{self, CLAIMS, Leadership, MAX_STORE_OUTAGE_MS};
-use crate::signals::{self, stopped};
+use crate::signals::{self, wait_for_stop};
 use crate::{Error, Result, follow, lock, metrics, reload};
 
 /// Topic and key of the desired state.
@@ -89,7 +89,7 @@
     let callers = settings.callers.ok_or(Error::Missing("the address for callers"))?;
     let readiness = settings.readiness.ok_or(Error::Missing("the address for readiness checks"))?;
     let asked = signals::listen();
-    tokio::spawn(reload::watch(path, settings.clone(), asked.clone()));
+    tokio::spawn(reload::watch_settings(path, settings.clone(), asked.clone()));
     let store = Store::new(&settings.store);
     let address = settings.peer_address();
     let listener = TcpListener::bind(&address).await?;
@@ -107,7 +107,7 @@
         stopping: watch::Sender::new(false),
     });
     let operators = entry.clone();
-    let show = Arc::new(move |call| operators.clone().show(call).boxed());
+    let show = Arc::new(move |call| operators.clone().answer_operator(call).boxed());
     serve_metrics(&entry.settings, metrics_port, show)?;
     let ready = {
         let entry = entry.clone();
@@ -129,7 +129,7 @@
     tokio::spawn(entry.clone().follow_claims(store.clone()));
     tokio::spawn(entry.clone().run_pings());
     tokio::spawn(entry.clone().run_leadership(store.clone()));
-    stopped(asked).await;
+    wait_for_stop(asked).await;
     log::info!("event=stopping role=entry instance={}", entry.me.instance);
     entry.stopping.send_replace(true);
     let closing = async {
@@ -257,7 +257,7 @@
         });
         if applied {
             *lock(&self.raw_desired) = value.to_vec();
-            metrics::level("desired_version", desired.version);
+            metrics::set_level("desired_version", desired.version);
             log::info!(
                 "event=desired_in_force version={} queues={} accounts={} from=\"{from}\"",
                 desired.version,
@@ -380,8 +380,8 @@
         let newer =
             leader_changes.wait_for(|leader| leader.as_ref().is_some_and(|leader| leader.epoch > epoch));
         let superseded = tokio::select! {
-            superseded = newer => superseded.is_ok(),
-            () = active.wait_for_step_down() => false,
+        superseded = newer => superseded.is_ok(),
+        () = active.wait_for_step_down() => false,
         };
         if superseded {
             active.step_down("superseded");
--- a/crates/control/tests/seat.rs
+++ b/crates/control/tests/seat.rs
@@ -1,4 +1,4 @@
-//! The planner's office over a stand-in of the store.
+//! The planner's leadership over a stand-in of the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     Arc::new(Desired { version: 1, queues: vec![queue], keys: BTreeMap::new(), ..Desired::default() })
 }
 
-fn holder(epoch: u64, life: u64) -> Leader {
+fn leader(epoch: u64, life: u64) -> Leader {
     Leader { epoch, instance: format!("entry-{life}"), address: "127.0.0.1:1".to_owned(), incarnation: life }
 }
 
@@ -46,77 +46,78 @@
     Submission { job: job.to_owned(), queue: "plain".to_owned(), steps: vec![step], ..Submission::default() }
 }
 
-async fn store() -> (String, Store) {
+async fn start_store() -> (String, Store) {
     let server = platform_store::start(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let address = server.local_addr().to_string();
     tokio::spawn(server);
     (address.clone(), Store::new(&address))
 }
 
-async fn faults(address: &str, faults: &'static str) {
+async fn set_faults(address: &str, faults: &'static str) {
     let client = Client::new(Duration::from_secs(2));
     let url = format!("http://{address}/v1/faults");
     client.send(Method::PUT, &url, &[], Bytes::from_static(faults.as_bytes())).await.unwrap();
 }
 
 #[tokio::test]
-async fn ask_does_not_deny_a_job_that_may_be_stored() {
-    let (address, store) = store().await;
-    let seat = ActivePlanner::start(&store, None, holder(1, 1), TIMING, desired()).await.unwrap();
-    faults(&address, r#"{"lose_every": 1}"#).await;
-    let asked = {
-        let seat = seat.clone();
+async fn ask_returns_unresolved_if_the_job_may_be_stored() {
+    let (address, store) = start_store().await;
+    let planner = ActivePlanner::start(&store, None, leader(1, 1), TIMING, desired()).await.unwrap();
+    set_faults(&address, r#"{"lose_every": 1}"#).await;
+    let answer = {
+        let planner = planner.clone();
         tokio::spawn(async move {
-            seat.handle_request(
-                PlannerRequest::Submit(submission("00000000000000a1")),
-                Duration::from_secs(3),
-            )
-            .await
+            planner
+                .handle_request(
+                    PlannerRequest::Submit(submission("00000000000000a1")),
+                    Duration::from_secs(3),
+                )
+                .await
         })
     };
-    // The append is carried out without an answer, then another planner takes over.
+    // The append is executed without an answer, then another planner takes over.
     tokio::time::sleep(Duration::from_millis(200)).await;
-    faults(&address, "{}").await;
+    set_faults(&address, "{}").await;
     let next = Writer { producer: "planner".to_owned(), epoch: 2, sequence: 0 };
     store.append_as("keyed.jobs", &next, &[], CALL_TIMEOUT).await.unwrap();
-    assert_eq!(asked.await.unwrap(), PlannerReply::Unresolved);
-    assert!(seat.has_stepped_down());
-    let successor = ActivePlanner::start(&store, None, holder(3, 2), TIMING, desired()).await.unwrap();
-    let told = successor
+    assert_eq!(answer.await.unwrap(), PlannerReply::Unresolved);
+    assert!(planner.has_stepped_down());
+    let successor = ActivePlanner::start(&store, None, leader(3, 2), TIMING, desired()).await.unwrap();
+    let reply = successor
         .handle_request(PlannerRequest::State("00000000000000a1".to_owned()), Duration::from_secs(1))
         .await;
-    assert!(matches!(told, PlannerReply::State(Some(_))), "{told:?}");
+    assert!(matches!(reply, PlannerReply::State(Some(_))), "{reply:?}");
 }
 
 #[tokio::test]
-async fn claim_gives_way_to_one_that_came_first() {
-    let (_, store) = store().await;
-    let (one, other) = (Leadership::default(), Leadership::default());
-    let first = election::claim(&store, &one, &holder(0, 1), 0).await.unwrap();
-    assert_eq!(election::claim(&store, &other, &holder(0, 2), 0).await, None);
-    assert_eq!(other.epoch(), first.epoch, "the loser has learned of the winner");
-    let second = election::claim(&store, &other, &holder(0, 2), first.epoch).await.unwrap();
+async fn claim_yields_to_an_earlier_claim() {
+    let (_, store) = start_store().await;
+    let (winner, loser) = (Leadership::default(), Leadership::default());
+    let first = election::claim(&store, &winner, &leader(0, 1), 0).await.unwrap();
+    assert_eq!(election::claim(&store, &loser, &leader(0, 2), 0).await, None);
+    assert_eq!(loser.epoch(), first.epoch, "the losing claimant knows the leader");
+    let second = election::claim(&store, &loser, &leader(0, 2), first.epoch).await.unwrap();
     assert!(second.epoch > first.epoch);
 }
 
 #[tokio::test]
-async fn take_fences_the_writer_before() {
-    let (_, store) = store().await;
-    let old = ActivePlanner::start(&store, None, holder(1, 1), TIMING, desired()).await.unwrap();
-    let _new = ActivePlanner::start(&store, None, holder(2, 2), TIMING, desired()).await.unwrap();
-    let told = old
+async fn take_fences_the_previous_writer() {
+    let (_, store) = start_store().await;
+    let old = ActivePlanner::start(&store, None, leader(1, 1), TIMING, desired()).await.unwrap();
+    let _new = ActivePlanner::start(&store, None, leader(2, 2), TIMING, desired()).await.unwrap();
+    let reply = old
         .handle_request(PlannerRequest::Submit(submission("00000000000000a1")), Duration::from_secs(2))
         .await;
-    assert_ne!(told, PlannerReply::Accepted);
+    assert_ne!(reply, PlannerReply::Accepted);
     assert!(old.has_stepped_down());
 }
 
 #[test]
-fn is_over_counts_only_silence_that_was_seen() {
+fn is_over_counts_only_observed_silence() {
     let mut silence = LeaderTimeout::default();
     silence.record_renewal(1_000);
     silence.record_read_failure();
-    assert!(!silence.has_expired(60_000, false, 0), "an outage of the store supersedes nobody");
+    assert!(!silence.has_expired(60_000, false, 0), "a store outage must not supersede the leader");
     silence.record_no_renewal(60_000);
     assert!(!silence.has_expired(60_000 + election::LEADER_TIMEOUT_MS - 1, false, 0));
     assert!(silence.has_expired(60_000 + election::LEADER_TIMEOUT_MS, false, 0));
@@ -127,43 +128,43 @@
 }
 
 #[test]
-fn is_over_needs_less_silence_of_a_holder_that_refuses() {
+fn is_over_needs_less_silence_of_a_refusing_leader() {
     let mut silence = LeaderTimeout::default();
     silence.record_renewal(1_000);
     assert!(!silence.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS - 1, true, 0));
     assert!(silence.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS, true, 0));
     assert!(!silence.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS, false, 0));
     silence.record_read_failure();
-    assert!(!silence.has_expired(60_000, true, 0), "an outage of the store supersedes nobody");
+    assert!(!silence.has_expired(60_000, true, 0), "a store outage must not supersede the leader");
 }
 
 #[tokio::test]
-async fn wait_for_silence_ends_at_once_for_the_next_life_of_the_holder() {
-    let (_, store) = store().await;
-    let office = Leadership::default();
-    let held = election::claim(&store, &office, &holder(0, 1), 0).await.unwrap();
-    election::renew(&store, held.epoch, false).await.unwrap();
-    let next_life = Leader { epoch: 0, incarnation: 2, ..held.clone() };
-    let waited = election::wait_until_claimable(&store, &office, &next_life, 0);
-    let epoch = tokio::time::timeout(Duration::from_millis(election::LEADER_TIMEOUT_MS / 2), waited).await;
-    assert_eq!(epoch, Ok(held.epoch));
-    // Another instance waits for the silence.
-    let other = holder(0, 3);
-    let waited = election::wait_until_claimable(&store, &office, &other, 0);
+async fn wait_for_silence_ends_at_once_for_the_next_incarnation() {
+    let (_, store) = start_store().await;
+    let leadership = Leadership::default();
+    let current = election::claim(&store, &leadership, &leader(0, 1), 0).await.unwrap();
+    election::renew(&store, current.epoch, false).await.unwrap();
+    let next_incarnation = Leader { epoch: 0, incarnation: 2, ..current.clone() };
+    let waiting = election::wait_until_claimable(&store, &leadership, &next_incarnation, 0);
+    let epoch = tokio::time::timeout(Duration::from_millis(election::LEADER_TIMEOUT_MS / 2), waiting).await;
+    assert_eq!(epoch, Ok(current.epoch));
+    // Another instance has to wait until the leader has not renewed for long enough.
+    let other = leader(0, 3);
+    let waiting = election::wait_until_claimable(&store, &leadership, &other, 0);
     assert!(
-        tokio::time::timeout(Duration::from_millis(election::LEADER_TIMEOUT_MS / 2), waited).await.is_err()
+        tokio::time::timeout(Duration::from_millis(election::LEADER_TIMEOUT_MS / 2), waiting).await.is_err()
     );
 }
 
 #[test]
-fn refuses_only_until_the_holder_answers() {
-    let office = Leadership::default();
-    office.record_refused(1);
-    assert!(!office.is_refusing(), "there is no holder yet");
-    office.update_leader(Some(holder(2, 1)));
-    assert!(!office.is_refusing(), "an older holder refused");
-    office.record_refused(2);
-    assert!(office.is_refusing());
-    office.record_answered(2);
-    assert!(!office.is_refusing());
+fn refuses_until_the_leader_answers() {
+    let leadership = Leadership::default();
+    leadership.record_refused(1);
+    assert!(!leadership.is_refusing(), "there is no leader yet");
+    leadership.update_leader(Some(leader(2, 1)));
+    assert!(!leadership.is_refusing(), "an earlier leader refused");
+    leadership.record_refused(2);
+    assert!(leadership.is_refusing());
+    leadership.record_answered(2);
+    assert!(!leadership.is_refusing());
 }
