--- a/crates/control/src/agent.rs
+++ b/crates/control/src/agent.rs
@@ -9,7 +9,7 @@
 use http::{Method, StatusCode};
 use sorrelland_fleet::assignments::{Pace, Start, Stop};
 use sorrelland_platform::serve::{self, Answer, Call};
-use sorrelland_platform::worker::{Error, StartOrder, Started, announcement};
+use sorrelland_platform::worker::{Error, StartOutcome, StartRequest, decode_announcement};
 use sorrelland_platform::{Settings, Store, WorkerClient};
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
@@ -76,19 +76,19 @@
 ///
 /// Returns why it could not start.
 pub async fn run(settings: Settings, path: PathBuf, metrics_port: Option<u16>) -> Result<()> {
-    let listen = settings.announcements.ok_or(RunError::Missing("the address for announcements"))?;
-    let worker = settings.worker.ok_or(RunError::Missing("the address of the worker"))?;
+    let listen = settings.announcement_address.ok_or(RunError::Missing("the address for announcements"))?;
+    let worker = settings.worker_address.ok_or(RunError::Missing("the address of the worker"))?;
     let asked = signals::listen();
     tokio::spawn(reload::watch(path, settings.clone(), asked.clone()));
     let show = Arc::new(|_| async { metrics::text() }.boxed());
     crate::entry::serve_metrics(&settings, metrics_port, show)?;
-    let store = Store::new(&settings.store);
+    let store = Store::new(&settings.store_address);
     let agent = Arc::new(Agent {
         life: rand::random(),
         office: Office::default(),
-        links: Links::new(&settings.store),
+        links: Links::new(&settings.store_address),
         worker: WorkerClient::new(&worker.to_string()),
-        watched: Mutex::new(Watched::new(settings.bounds.longest_lease_ms, settings.bounds.stop_ms)),
+        watched: Mutex::new(Watched::new(settings.bounds.max_lease_ms, settings.bounds.stop_ms)),
         entries: Mutex::default(),
         news: Notify::new(),
         orders: Notify::new(),
@@ -126,7 +126,7 @@
             return Answer::new(StatusCode::NOT_FOUND);
         };
         match call.method {
-            Method::PUT => match announcement(life, &call.body) {
+            Method::PUT => match decode_announcement(life, &call.body) {
                 Ok(announcement) => {
                     let draining = announcement.info.draining;
                     if lock(&self.watched).announce(now_ms(), announcement) {
@@ -271,7 +271,7 @@
             watched.note_tried(start);
             (watched.epoch(), lease_end_ms)
         };
-        let order = StartOrder {
+        let order = StartRequest {
             task: &start.task,
             run: start.run,
             spec: &start.spec,
@@ -282,7 +282,7 @@
         };
         let (job, task, run) = (&start.task.job, &start.task, start.run);
         match self.worker.start(life, &order).await {
-            Ok((Started::Running, clock_ms)) => {
+            Ok((StartOutcome::Running, clock_ms)) => {
                 log::info!("event=started job={job} task={task} run={run} worker={life} token={token}");
                 let mut watched = lock(&self.watched);
                 if let Some(clock_ms) = clock_ms {
@@ -291,12 +291,12 @@
                 watched.note_started(life, start, clock_ms.unwrap_or_default());
                 true
             }
-            Ok((Started::Never(why), _)) => {
+            Ok((StartOutcome::Rejected(why), _)) => {
                 log::warn!("event=start_refused job={job} task={task} run={run} worker={life} why={why}");
                 lock(&self.watched).note_final(life, task, run, &why);
                 true
             }
-            Ok((Started::NotNow(why), clock_ms)) => {
+            Ok((StartOutcome::Deferred(why), clock_ms)) => {
                 log::warn!("event=start_delayed job={job} task={task} run={run} worker={life} why=\"{why}\"");
                 if let Some(clock_ms) = clock_ms {
                     lock(&self.watched).note_clock(now_ms(), clock_ms);
@@ -339,7 +339,7 @@
     async fn pace_once(&self, life: &str, pace: &Pace) -> bool {
         let token = lock(&self.watched).epoch();
         let Pace { task, run, percent } = pace;
-        match self.worker.pace(life, task, *run, *percent, token).await {
+        match self.worker.set_speed(life, task, *run, *percent, token).await {
             Ok(()) => {
                 lock(&self.watched).note_paced(life, pace);
                 true
@@ -356,7 +356,7 @@
     }
 
     fn note_error(&self, life: &str, error: &Error) {
-        if matches!(error, Error::OtherLife) {
+        if matches!(error, Error::OtherIncarnation) {
             log::warn!("event=worker_replaced worker={life}");
             lock(&self.watched).drop_current(life);
         }
@@ -397,7 +397,7 @@
             let mut watched = lock(&self.watched);
             (watched.begin_look(), watched.epoch(), watched.seen(), watched.extend(now_ms()))
         };
-        match self.worker.look(life, token, seen, lease_end_ms, wait).await {
+        match self.worker.poll(life, token, seen, lease_end_ms, wait).await {
             Ok(listing) => {
                 if lock(&self.watched).take_listing(now_ms(), look, life, listing) {
                     self.news.notify_one();
--- a/crates/control/src/duty.rs
+++ b/crates/control/src/duty.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use sorrelland_fleet::record::Record;
 use sorrelland_platform::Store;
-use sorrelland_platform::store::{Error, keyed};
+use sorrelland_platform::store::{Error, encode_keyed};
 use tokio::sync::watch;
 
 use crate::calls::Holder;
@@ -246,7 +246,7 @@
 /// Claims the office; returns the holder if this process has it now. Nothing is claimed if another claim came after
 /// `epoch`, the one that was judged to be silent.
 pub async fn claim(store: &Store, office: &Office, me: &Holder, epoch: u64) -> Option<Holder> {
-    let end = match store.newest(CLAIMS).await {
+    let end = match store.read_latest(CLAIMS).await {
         Ok((items, end)) => {
             for item in &items {
                 office.take(&item.key, &item.value, item.offset);
@@ -263,7 +263,7 @@
     }
     let claim = Claim { instance: me.instance.clone(), address: me.address.clone(), life: me.life };
     let value = serde_json::to_vec(&claim).ok()?;
-    let record = keyed(&Record { key: KEY.to_owned(), value });
+    let record = encode_keyed(&Record { key: KEY.to_owned(), value });
     let mine = Holder { epoch: end + 1, ..me.clone() };
     match store.append(CLAIMS, &[record], Some(end)).await {
         Ok(offset) => {
@@ -271,7 +271,7 @@
             office.learn(Some(mine.clone()));
             Some(mine)
         }
-        Err(e) if e.nothing_done() => {
+        Err(e) if e.not_applied() => {
             log::info!("event=claim_refused cause=\"{e}\"");
             None
         }
@@ -287,7 +287,7 @@
 async fn resolve(store: &Store, office: &Office, mine: &Holder) -> Option<Holder> {
     for _ in 0..RESOLVE_TRIES {
         tokio::time::sleep(PAUSE).await;
-        if let Ok((items, end)) = store.newest(CLAIMS).await {
+        if let Ok((items, end)) = store.read_latest(CLAIMS).await {
             for item in &items {
                 office.take(&item.key, &item.value, item.offset);
             }
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -12,7 +12,7 @@
 use sorrelland_fleet::desired::Desired;
 use sorrelland_fleet::planner::Timing;
 use sorrelland_platform::serve::{self, Answer, Handler};
-use sorrelland_platform::{Policy, Settings, Store, desired};
+use sorrelland_platform::{PolicyClient, Settings, Store, desired};
 use sorrelland_wire::connect::{self, CallError};
 use tarpc::context::Context;
 use tokio::net::TcpListener;
@@ -84,16 +84,16 @@
 ///
 /// Returns why it could not start.
 pub async fn run(settings: Settings, path: PathBuf, metrics_port: Option<u16>) -> Result<()> {
-    let callers = settings.callers.ok_or(Error::Missing("the address for callers"))?;
-    let readiness = settings.readiness.ok_or(Error::Missing("the address for readiness checks"))?;
+    let callers = settings.caller_address.ok_or(Error::Missing("the address for callers"))?;
+    let readiness = settings.readiness_address.ok_or(Error::Missing("the address for readiness checks"))?;
     let asked = signals::listen();
     tokio::spawn(reload::watch(path, settings.clone(), asked.clone()));
-    let store = Store::new(&settings.store);
+    let store = Store::new(&settings.store_address);
     let address = settings.peer_address();
     let listener = TcpListener::bind(&address).await?;
     let me = Holder { epoch: 0, instance: settings.instance.clone(), address, life: rand::random() };
     let entry = Arc::new(Entry {
-        links: Links::new(&settings.store),
+        links: Links::new(&settings.store_address),
         settings,
         me,
         office: Office::default(),
@@ -197,7 +197,7 @@
 
 impl Entry {
     async fn serve_peers(self: Arc<Self>, listener: TcpListener) {
-        let key = self.settings.store.as_str().into();
+        let key = self.settings.store_address.as_str().into();
         let service = Service(self);
         connect::serve(listener, key, move |call| {
             tokio::spawn(call.execute(service.clone().serve()));
@@ -342,7 +342,7 @@
             let Some(holder) = holder else { continue };
             sat = holder.epoch;
             let desired = self.desired.borrow().clone();
-            let policy = self.settings.policy.as_deref().map(Policy::new);
+            let policy = self.settings.policy_address.as_deref().map(PolicyClient::new);
             let Some(seat) = Seat::take(&store, policy, holder, self.timing(), desired).await else {
                 continue;
             };
@@ -377,12 +377,12 @@
 
     fn timing(&self) -> Timing {
         let bounds = self.settings.bounds;
-        let grant_ms = (bounds.longest_lease_ms * GRANT_PERCENT / 100).min(GRANT_MOST_MS);
+        let grant_ms = (bounds.max_lease_ms * GRANT_PERCENT / 100).min(GRANT_MOST_MS);
         Timing {
             grant_ms,
             stop_ms: bounds.stop_ms,
             unreported_ms: ALONE_MS + grant_ms + grant_ms / 50 + bounds.stop_ms,
-            ended_retention_ms: 2 * bounds.keep_ended_ms,
+            ended_retention_ms: 2 * bounds.ended_retention_ms,
             reclaim_ms: bounds.reclaim_ms,
         }
     }
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sorrelland_platform::Store;
-use sorrelland_platform::store::{Error, split_keyed};
+use sorrelland_platform::store::{Error, decode_keyed};
 
 /// Pauses after a failed call, in milliseconds, growing from the first to the last.
 const PAUSE_MS: (u64, u64) = (150, 1_000);
@@ -15,7 +15,7 @@
     let mut pause_ms = PAUSE_MS.0;
     loop {
         let failed = match from {
-            None => match store.newest(topic).await {
+            None => match store.read_latest(topic).await {
                 Ok((items, end)) => {
                     for item in items {
                         take(&item.key, &item.value, item.offset);
@@ -28,7 +28,7 @@
             Some(at) => match store.read(topic, at, wait).await {
                 Ok(read) => {
                     for (offset, raw) in (at..).zip(&read.records) {
-                        match split_keyed(raw) {
+                        match decode_keyed(raw) {
                             Some((key, value)) => take(key, value, offset),
                             None => log::warn!("event=record_skipped topic={topic} offset={offset}"),
                         }
--- a/crates/control/src/seat.rs
+++ b/crates/control/src/seat.rs
@@ -10,8 +10,8 @@
 use sorrelland_fleet::job::{Step, Submission};
 use sorrelland_fleet::planner::{Admission, Planner, Timing};
 use sorrelland_fleet::report::Report;
-use sorrelland_platform::store::{Error, Writer, keyed};
-use sorrelland_platform::{Policy, Store};
+use sorrelland_platform::store::{Error, Writer, encode_keyed};
+use sorrelland_platform::{PolicyClient, Store};
 use tokio::sync::{Notify, watch};
 
 use crate::calls::{Ask, Holder, Told};
@@ -62,7 +62,7 @@
     /// Takes the office up: fences every earlier writer, then reads the jobs.
     pub async fn take(
         store: &Store,
-        policy: Option<Policy>,
+        policy: Option<PolicyClient>,
         holder: Holder,
         timing: Timing,
         desired: Arc<Desired>,
@@ -162,7 +162,7 @@
             self.append.notified().await;
             loop {
                 let Some((records, change)) = lock(&self.planner).take_changes() else { break };
-                let raw: Vec<Vec<u8>> = records.iter().map(keyed).collect();
+                let raw: Vec<Vec<u8>> = records.iter().map(encode_keyed).collect();
                 for part in parts(raw) {
                     if !self.append_part(&store, &mut writer, &mut patience, &part).await {
                         return;
@@ -195,7 +195,7 @@
             let appended = store.append_as(JOBS, writer, part, patience.wait()).await;
             metrics::append(outcome(&appended), began);
             match &appended {
-                Err(e) if !e.nothing_done() => patience.note_missed(),
+                Err(e) if !e.not_applied() => patience.note_missed(),
                 _ => patience.note(began.elapsed()),
             }
             match appended {
@@ -216,7 +216,7 @@
                     return false;
                 }
                 Err(e) => {
-                    unanswered |= !e.nothing_done();
+                    unanswered |= !e.not_applied();
                     tries += 1;
                     if tries == 1 || tries.is_multiple_of(LOG_TRIES) {
                         let sequence = writer.sequence;
@@ -244,7 +244,7 @@
     }
 
     /// Asks the policy service, which answers one question after another anyway.
-    async fn run_questions(self: Arc<Self>, policy: Policy) {
+    async fn run_questions(self: Arc<Self>, policy: PolicyClient) {
         while !self.is_over() {
             let question = lock(&self.planner).next_approval_request(now_ms());
             let Some((step, workers)) = question else {
@@ -253,7 +253,7 @@
                 continue;
             };
             let name = format!("{}.{}.{}", step.0, step.1, step.2);
-            match policy.ask(&name, &workers).await {
+            match policy.request_approvals(&name, &workers).await {
                 Ok(told) => {
                     let mut planner = lock(&self.planner);
                     planner.record_approvals(now_ms(), &step, &workers, &told.admitted, told.valid_ms);
--- a/crates/control/src/stored.rs
+++ b/crates/control/src/stored.rs
@@ -26,7 +26,7 @@
     match result {
         Ok(_) => "stored",
         Err(Error::Fenced) => "fenced",
-        Err(e) if e.nothing_done() => "refused",
+        Err(e) if e.not_applied() => "refused",
         Err(_) => "unanswered",
     }
 }
@@ -63,7 +63,7 @@
             }
         }
         if fenced {
-            match store.newest(JOBS).await {
+            match store.read_latest(JOBS).await {
                 Ok((items, _)) => {
                     writer.sequence = 1;
                     let records = items.iter().map(|item| (item.key.as_str(), item.value.as_slice()));
