--- a/crates/emul/src/args.rs
+++ b/crates/emul/src/args.rs
@@ -6,7 +6,7 @@
 
 /// Help text.
 pub const HELP: &str = "\
-sorrelland-emul - plays a deployment's load over emulated workers in virtual time
+sorrelland-emul - runs a deployment's load on emulated workers in virtual time
 
 Usage:
   sorrelland-emul [OPTIONS]
@@ -21,32 +21,29 @@
   --faults X        faults a minute (default 0)
   --help            print this text
 
-Exit status: 0 nothing was violated, 1 something was, 2 wrong usage
+Exit status: 0 no violations, 1 violations, 2 wrong usage
 ";
 
-/// What the command line asks for.
+/// Action that the command line requests.
 pub enum Command {
-    /// Print the help text.
     Help,
-    /// Play.
-    Play(Options),
+    /// Run the load with each seed.
+    Run(Options),
 }
 
-/// Options of a play.
 pub struct Options {
-    /// Load.
     pub load: Load,
     /// First seed.
     pub seed: u64,
     /// Number of seeds.
     pub seeds: u64,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Time with arrivals, in seconds.
+    /// Time during which jobs arrive, in seconds.
     pub seconds: u64,
     /// Multiple of the load's rates.
     pub rate: f64,
-    /// Faults a minute.
+    /// Faults per minute.
     pub faults: f64,
 }
 
@@ -54,7 +51,7 @@
 ///
 /// # Errors
 ///
-/// Returns what is wrong with it.
+/// Returns an error if an option or its value is invalid.
 pub fn parse(mut parser: lexopt::Parser) -> Result<Command, lexopt::Error> {
     let (mut load, mut seed, mut seeds, mut workers) = ("hpms".to_owned(), 1, 20, 11);
     let (mut seconds, mut rate, mut faults) = (60, 1.0, 0.0);
@@ -71,10 +68,10 @@
             other => return Err(other.unexpected()),
         }
     }
-    let known = by_name(&load);
-    let load = known.ok_or_else(|| lexopt::Error::Custom(format!("--load: {load:?} is not known").into()))?;
+    let found = by_name(&load);
+    let load = found.ok_or_else(|| lexopt::Error::Custom(format!("--load: unknown load {load:?}").into()))?;
     if workers == 0 || seeds == 0 {
-        return Err(lexopt::Error::Custom("--workers and --seeds: at least 1 is needed".into()));
+        return Err(lexopt::Error::Custom("--workers and --seeds: must be at least 1".into()));
     }
-    Ok(Command::Play(Options { load, seed, seeds, workers, seconds, rate, faults }))
+    Ok(Command::Run(Options { load, seed, seeds, workers, seconds, rate, faults }))
 }
--- a/crates/emul/src/check.rs
+++ b/crates/emul/src/check.rs
@@ -1,66 +1,78 @@
-//! Checks of what must always hold, from what the workers saw.
+//! Checks of the scheduler's invariants against the history of runs on the workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use sorrelland_fleet::report::EndReason;
 use sorrelland_fleet::{Resources, Task};
 
-/// What the workers saw, and what of it must not have been.
+/// History of the runs on all workers, with the violations found in it.
 #[derive(Debug, Default)]
 pub struct History {
     running: BTreeMap<Task, BTreeSet<u64>>,
-    /// Ends as done that the planner has not confirmed, by worker's life.
-    unconfirmed: BTreeMap<String, Vec<(u64, Task, EndReason)>>,
-    /// Subtasks with an end as done that was listed, confirmed or not.
+    /// Ends that the planner has not acknowledged, by incarnation of the worker: number, subtask and reason.
+    unacknowledged: BTreeMap<String, Vec<(u64, Task, EndReason)>>,
+    /// Subtasks for which a worker listed an end as done, acknowledged or not.
     ever_done: BTreeSet<Task>,
-    done: BTreeSet<Task>,
+    /// Subtasks whose end as done was acknowledged.
+    acknowledged_done: BTreeSet<Task>,
+    /// Acknowledged ends as failed.
     failed: BTreeMap<Task, u32>,
-    /// What was wrong, each with its time.
+    /// Violated invariants, each with its time.
     pub violations: Vec<String>,
-    /// Starts in all.
+    /// Total number of starts.
     pub starts: u64,
 }
 
 impl History {
-    /// Notes a start.
-    pub fn started(&mut self, now: u64, task: &Task, run: u64) {
+    /// Records a start. A subtask must not start while it has another run or after it is acknowledged as done.
+    pub fn record_start(&mut self, now_ms: u64, task: &Task, run: u64) {
         self.starts += 1;
         let running = self.running.entry(task.clone()).or_default();
         if !running.is_empty() {
-            self.violations.push(format!("{now} ms: {task} run {run} started while {running:?} was running"));
+            self.violations
+                .push(format!("{now_ms} ms: {task} run {run} started while {running:?} was running"));
         }
         running.insert(run);
-        if self.done.contains(task) {
-            self.violations
-                .push(format!("{now} ms: {task} run {run} started after it was confirmed as done"));
+        if self.acknowledged_done.contains(task) {
+            self.violations.push(format!(
+                "{now_ms} ms: {task} run {run} started after the subtask was acknowledged as done"
+            ));
         }
     }
 
-    /// Notes that a run is over without an end that anyone lists.
-    pub fn over(&mut self, _now: u64, task: &Task, run: u64) {
+    /// Records that a run no longer exists, whether or not an end is listed for it.
+    pub fn record_removal(&mut self, _now_ms: u64, task: &Task, run: u64) {
         if let Some(running) = self.running.get_mut(task) {
             running.remove(&run);
         }
     }
 
-    /// Notes an end as a worker lists it.
-    pub fn ended(&mut self, now: u64, life: &str, n: u64, task: &Task, run: u64, how: EndReason) {
-        self.over(now, task, run);
-        if how == EndReason::Done {
+    /// Records the end numbered `number` in the list of a worker incarnation.
+    pub fn record_end(
+        &mut self,
+        now_ms: u64,
+        incarnation: &str,
+        number: u64,
+        task: &Task,
+        run: u64,
+        reason: EndReason,
+    ) {
+        self.record_removal(now_ms, task, run);
+        if reason == EndReason::Done {
             self.ever_done.insert(task.clone());
         }
-        self.unconfirmed.entry(life.to_owned()).or_default().push((n, task.clone(), how));
+        self.unacknowledged.entry(incarnation.to_owned()).or_default().push((number, task.clone(), reason));
     }
 
-    /// Notes that the planner has confirmed a worker's ends up to `n`.
-    pub fn confirmed(&mut self, life: &str, n: u64) {
-        let ends = self.unconfirmed.entry(life.to_owned()).or_default();
-        let (confirmed, rest) = std::mem::take(ends).into_iter().partition(|(end, _, _)| *end <= n);
+    /// Records that the planner has acknowledged a worker's ends up to `number`.
+    pub fn record_acknowledgement(&mut self, incarnation: &str, number: u64) {
+        let ends = self.unacknowledged.entry(incarnation.to_owned()).or_default();
+        let (acknowledged, rest) = std::mem::take(ends).into_iter().partition(|(end, _, _)| *end <= number);
         *ends = rest;
-        for (_, task, how) in confirmed {
-            match how {
+        for (_, task, reason) in acknowledged {
+            match reason {
                 EndReason::Done => {
-                    self.done.insert(task);
+                    self.acknowledged_done.insert(task);
                 }
                 EndReason::Failed => *self.failed.entry(task).or_default() += 1,
                 _ => (),
@@ -68,27 +80,28 @@
         }
     }
 
-    /// Notes that a worker's lease ran out: ends that were not confirmed by then do not count.
-    pub fn lapsed(&mut self, life: &str) {
-        self.unconfirmed.remove(life);
+    /// Records that a worker's lease expired: ends that are not acknowledged by then do not count.
+    pub fn record_lapse(&mut self, incarnation: &str) {
+        self.unacknowledged.remove(incarnation);
     }
 
-    /// Notes the room that runs take on a worker.
-    pub fn room(&mut self, now: u64, life: &str, capacity: &Resources, used: &Resources) {
-        let over = used.millicores > capacity.millicores
+    /// Checks that the resources used by runs do not exceed the capacity of a worker.
+    pub fn check_capacity(&mut self, now_ms: u64, incarnation: &str, capacity: &Resources, used: &Resources) {
+        let exceeded = used.millicores > capacity.millicores
             || used.memory_mb > capacity.memory_mb
             || used.accelerators > capacity.accelerators;
-        if over {
-            self.violations.push(format!("{now} ms: {life} has {capacity:?} and runs {used:?}"));
+        if exceeded {
+            self.violations.push(format!("{now_ms} ms: runs on {incarnation} use {used:?} of {capacity:?}"));
         }
     }
 
-    /// Checks that every subtask of a job that is shown as completed has a listed end as done.
-    pub fn completed(&mut self, now: u64, job: &str, subtasks: impl Iterator<Item = Task>) {
+    /// Checks that every subtask of a job reported as completed has a listed end as done.
+    pub fn check_completion(&mut self, now_ms: u64, job: &str, subtasks: impl Iterator<Item = Task>) {
         for task in subtasks {
             if !self.ever_done.contains(&task) {
-                self.violations
-                    .push(format!("{now} ms: {job} shown as completed, {task} never ended as done"));
+                self.violations.push(format!(
+                    "{now_ms} ms: {job} reported as completed, but {task} never ended as done"
+                ));
             }
         }
     }
--- a/crates/emul/src/load.rs
+++ b/crates/emul/src/load.rs
@@ -1,117 +1,117 @@
-//! Loads after the users' request sheets.
+//! Synthetic loads with the parameters of the users' request sheets.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sorrelland_fleet::Resources;
 use sorrelland_fleet::job::{Step, Submission};
 
-/// A kind of job.
+/// Parameters of a kind of job.
 #[derive(Clone, Debug)]
-pub struct Kind {
-    /// Name in the sheet.
+pub struct JobKind {
+    /// Name in the request sheet.
     pub name: &'static str,
-    /// Jobs a second.
-    pub per_s: f64,
-    /// Urgency of its queue.
+    /// Mean number of arrivals per second.
+    pub arrivals_per_s: f64,
+    /// Priority of its queue; 0 is the most urgent.
     pub priority: u32,
-    /// Worth in time, and when late.
-    pub worth: (f64, f64),
-    /// Mean work of a subtask, in milliseconds.
+    /// Value of a job that ends in time, and of one that ends late.
+    pub value: (f64, f64),
+    /// Mean work of a subtask, in milliseconds at speed 1.
     pub work_ms: f64,
     /// Mean number of subtasks.
-    pub width: f64,
-    /// Room of a subtask, without accelerators.
-    pub room: (i64, i64),
-    /// Accelerators of a subtask, one is drawn.
+    pub subtasks: f64,
+    /// Millicores and megabytes of memory of a subtask.
+    pub cpu_memory: (i64, i64),
+    /// Numbers of accelerators from which that of a job's subtasks is drawn.
     pub accelerators: &'static [i64],
-    /// Share of the jobs that are gangs; most of them want one rack.
-    pub gang: f64,
-    /// Share of the steps that save progress.
-    pub saves: f64,
-    /// Spread of the estimates, as a share.
-    pub estimate_off: f64,
+    /// Share of the jobs with several subtasks that are gangs; most of these prefer one rack.
+    pub gang_share: f64,
+    /// Share of the jobs that save progress.
+    pub saving_share: f64,
+    /// Maximum relative error of the estimates.
+    pub estimate_error: f64,
     /// Share of the runs that fail.
-    pub errors: f64,
-    /// Share of the jobs that can never be done.
-    pub poison: f64,
-    /// Share of the jobs that are cancelled.
-    pub cancels: f64,
-    /// Stretch of the target, in thousandths.
+    pub failure_share: f64,
+    /// Share of the jobs whose runs all fail.
+    pub always_failing_share: f64,
+    /// Share of the jobs that the caller cancels.
+    pub cancelled_share: f64,
+    /// Multiple of a job's work within which it should end, in thousandths.
     pub stretch_milli: u64,
-    /// Time that is added to the target, in milliseconds.
+    /// Time added to that multiple, in milliseconds.
     pub full_value_ms: u64,
-    /// Failed runs after which a job is given up.
+    /// Number of failed runs after which a job fails.
     pub max_attempts: u32,
 }
 
-/// A deployment's load.
+/// Load of a deployment.
 #[derive(Clone, Debug)]
 pub struct Load {
     /// Name of the deployment.
     pub name: &'static str,
-    /// Kinds of jobs.
-    pub kinds: Vec<Kind>,
-    /// Longest time of a stop, in milliseconds.
+    pub kinds: Vec<JobKind>,
+    /// Maximum time that it takes to stop a run, in milliseconds.
     pub stop_ms: u64,
 }
 
-const WIDE: &[i64] = &[1, 2, 4, 8, 8];
+/// Accelerators per subtask of kinds that need several; 8 is twice as frequent.
+const ACCELERATOR_COUNTS: &[i64] = &[1, 2, 4, 8, 8];
 
-/// Returns the load of a deployment of this milestone by name: `hpms` or `cmsc`.
+/// Returns the load of the deployment `hpms` or `cmsc`.
 pub fn by_name(name: &str) -> Option<Load> {
-    let reprice = Kind {
+    let reprice = JobKind {
         name: "reprice",
-        per_s: 0.509,
+        arrivals_per_s: 0.509,
         priority: 1,
-        worth: (3.0, 0.9),
+        value: (3.0, 0.9),
         work_ms: 6_800.0,
-        width: 1.5,
-        room: (52_000, 110_000),
-        accelerators: WIDE,
-        gang: 0.5,
-        saves: 0.45,
-        estimate_off: 0.5,
-        errors: 0.05,
-        poison: 0.03,
-        cancels: 0.05,
+        subtasks: 1.5,
+        cpu_memory: (52_000, 110_000),
+        accelerators: ACCELERATOR_COUNTS,
+        gang_share: 0.5,
+        saving_share: 0.45,
+        estimate_error: 0.5,
+        failure_share: 0.05,
+        always_failing_share: 0.03,
+        cancelled_share: 0.05,
         stretch_milli: 3_000,
         full_value_ms: 1_000,
         max_attempts: 4,
     };
-    let window = Kind {
+    let window = JobKind {
         name: "window",
-        per_s: 0.298,
+        arrivals_per_s: 0.298,
         priority: 0,
-        worth: (4.0, 0.8),
+        value: (4.0, 0.8),
         work_ms: 2_500.0,
-        width: 3.4,
-        room: (15_000, 30_992),
-        gang: 0.6,
-        saves: 0.0,
-        estimate_off: 0.2,
-        errors: 0.02,
-        poison: 0.0,
-        cancels: 0.0,
+        subtasks: 3.4,
+        cpu_memory: (15_000, 30_992),
+        gang_share: 0.6,
+        saving_share: 0.0,
+        estimate_error: 0.2,
+        failure_share: 0.02,
+        always_failing_share: 0.0,
+        cancelled_share: 0.0,
         stretch_milli: 1_500,
         full_value_ms: 250,
         max_attempts: 2,
-        accelerators: WIDE,
+        accelerators: ACCELERATOR_COUNTS,
     };
-    let spares = Kind {
+    let spares = JobKind {
         name: "spares",
-        per_s: 0.246,
+        arrivals_per_s: 0.246,
         priority: 2,
-        worth: (1.0, 0.3),
+        value: (1.0, 0.3),
         work_ms: 6_100.0,
-        width: 9.2,
-        room: (11_000, 22_992),
+        subtasks: 9.2,
+        cpu_memory: (11_000, 22_992),
         accelerators: &[1],
-        gang: 0.0,
-        saves: 0.45,
-        estimate_off: 0.2,
-        errors: 0.02,
-        poison: 0.03,
-        cancels: 0.15,
+        gang_share: 0.0,
+        saving_share: 0.45,
+        estimate_error: 0.2,
+        failure_share: 0.02,
+        always_failing_share: 0.03,
+        cancelled_share: 0.15,
         stretch_milli: 3_000,
         full_value_ms: 3_000,
         max_attempts: 4,
@@ -119,26 +119,32 @@
     match name {
         "hpms" => Some(Load { name: "hpms", kinds: vec![reprice, window, spares], stop_ms: 400 }),
         "cmsc" => {
-            let render = Kind {
+            let render = JobKind {
                 name: "render",
-                per_s: 0.456,
-                worth: (3.0, 1.5),
+                arrivals_per_s: 0.456,
+                value: (3.0, 1.5),
                 work_ms: 8_500.0,
-                room: (52_000, 140_000),
-                estimate_off: 0.9,
-                errors: 0.005,
-                poison: 0.0,
+                cpu_memory: (52_000, 140_000),
+                estimate_error: 0.9,
+                failure_share: 0.005,
+                always_failing_share: 0.0,
                 ..reprice
             };
-            let check =
-                Kind { name: "check", per_s: 0.382, width: 3.0, errors: 0.05, max_attempts: 4, ..window };
-            let proof = Kind {
+            let check = JobKind {
+                name: "check",
+                arrivals_per_s: 0.382,
+                subtasks: 3.0,
+                failure_share: 0.05,
+                max_attempts: 4,
+                ..window
+            };
+            let proof = JobKind {
                 name: "proof",
-                per_s: 0.22,
-                worth: (1.0, 0.5),
+                arrivals_per_s: 0.22,
+                value: (1.0, 0.5),
                 work_ms: 7_600.0,
-                estimate_off: 0.9,
-                errors: 0.005,
+                estimate_error: 0.9,
+                failure_share: 0.005,
                 max_attempts: 2,
                 ..spares
             };
@@ -148,85 +154,87 @@
     }
 }
 
-/// What is true of a job and the planner isn't told.
+/// Properties of a job that are hidden from the planner.
 #[derive(Clone, Debug)]
-pub struct Truth {
-    /// Index of its kind.
+pub struct HiddenProperties {
+    /// Index of the job's kind in the load.
     pub kind: usize,
-    /// True work of each step's subtasks, in milliseconds.
+    /// Actual work of each step's subtasks, in milliseconds at speed 1.
     pub work_ms: Vec<u64>,
     /// Whether every run fails.
-    pub poison: bool,
-    /// Time after which the caller cancels, in milliseconds.
+    pub always_fails: bool,
+    /// Time from the first submission after which the caller cancels, in milliseconds.
     pub cancel_after_ms: Option<u64>,
 }
 
-/// Draws jobs.
-pub struct Source {
+/// Seeded generator of jobs and of all other random values of a run.
+pub struct JobGenerator {
     rng: StdRng,
-    next: u64,
+    last_job: u64,
 }
 
-impl Source {
-    /// Creates a source; the same seed gives the same jobs.
+impl JobGenerator {
+    /// Creates a generator; the same seed gives the same draws.
     pub fn new(seed: u64) -> Self {
-        Self { rng: StdRng::seed_from_u64(seed), next: 0 }
+        Self { rng: StdRng::seed_from_u64(seed), last_job: 0 }
     }
 
-    /// Returns the time to the next job of a kind at a multiple of its rate, in milliseconds.
-    pub fn gap_ms(&mut self, per_s: f64) -> u64 {
-        let draw: f64 = self.rng.random_range(1e-9..1.0);
-        (-draw.ln() / per_s.max(1e-6) * 1_000.0) as u64
+    /// Draws the time between two arrivals of a Poisson process, in milliseconds.
+    pub fn draw_gap_ms(&mut self, arrivals_per_s: f64) -> u64 {
+        let uniform: f64 = self.rng.random_range(1e-9..1.0);
+        (-uniform.ln() / arrivals_per_s.max(1e-6) * 1_000.0) as u64
     }
 
-    /// Returns a draw between 0 and 1.
-    pub fn chance(&mut self) -> f64 {
+    /// Draws uniformly from 0 to 1.
+    pub fn draw_uniform(&mut self) -> f64 {
         self.rng.random_range(0.0..1.0)
     }
 
-    fn around(&mut self, mean: f64, spread: f64, most: f64) -> f64 {
-        // A product of two draws has the long tail that the sheets' spreads have.
+    /// Draws a value near `mean`, at most `max`.
+    fn draw_around(&mut self, mean: f64, spread: f64, max: f64) -> f64 {
+        // A product of two uniform draws has a long tail, as the distributions in the request sheets have.
         let (one, two): (f64, f64) = (self.rng.random_range(0.0..1.0), self.rng.random_range(0.0..1.0));
-        (mean * (1.0 - spread + 2.0 * spread * one) * (0.6 + 0.8 * two)).min(most)
+        (mean * (1.0 - spread + 2.0 * spread * one) * (0.6 + 0.8 * two)).min(max)
     }
 
-    /// Draws a job of a kind.
-    pub fn job(&mut self, load: &Load, kind: usize) -> (Submission, Truth) {
-        self.next += 1;
-        let of = &load.kinds[kind];
-        let count = self.around(of.width, 0.8, of.width * 6.0).round().max(1.0) as u32;
-        let gang = self.chance() < of.gang && count > 1;
-        let pick = self.rng.random_range(0..of.accelerators.len());
-        let work_ms = self.around(of.work_ms, 0.5, 11_000.0).max(300.0);
-        let off = 1.0 + of.estimate_off * (2.0 * self.chance() - 1.0);
+    /// Generates a job of a kind, given by its index in the load.
+    pub fn generate_job(&mut self, load: &Load, kind: usize) -> (Submission, HiddenProperties) {
+        self.last_job += 1;
+        let params = &load.kinds[kind];
+        let count = self.draw_around(params.subtasks, 0.8, params.subtasks * 6.0).round().max(1.0) as u32;
+        let gang = self.draw_uniform() < params.gang_share && count > 1;
+        let choice = self.rng.random_range(0..params.accelerators.len());
+        let work_ms = self.draw_around(params.work_ms, 0.5, 11_000.0).max(300.0);
+        let estimate_ratio = 1.0 + params.estimate_error * (2.0 * self.draw_uniform() - 1.0);
         let step = Step {
             count,
-            resources: Resources::new(of.room.0, of.room.1, of.accelerators[pick]),
-            estimate_ms: (work_ms * off).max(100.0) as u64,
-            saves_progress: self.chance() < of.saves,
+            resources: Resources::new(params.cpu_memory.0, params.cpu_memory.1, params.accelerators[choice]),
+            estimate_ms: (work_ms * estimate_ratio).max(100.0) as u64,
+            saves_progress: self.draw_uniform() < params.saving_share,
             gang,
-            prefers_one_rack: gang && self.chance() < 0.7,
+            prefers_one_rack: gang && self.draw_uniform() < 0.7,
             ..Step::default()
         };
-        let second = of.priority == 2 && self.chance() < 0.3;
+        let has_second_step = params.priority == 2 && self.draw_uniform() < 0.3;
         let mut steps = vec![step.clone()];
-        if second {
+        if has_second_step {
             steps.push(Step { depends_on: vec![0], ..step });
         }
-        let truth = Truth {
+        let hidden = HiddenProperties {
             kind,
             work_ms: vec![work_ms as u64; steps.len()],
-            poison: self.chance() < of.poison,
-            cancel_after_ms: (self.chance() < of.cancels).then(|| 500 + (self.chance() * 8_000.0) as u64),
+            always_fails: self.draw_uniform() < params.always_failing_share,
+            cancel_after_ms: (self.draw_uniform() < params.cancelled_share)
+                .then(|| 500 + (self.draw_uniform() * 8_000.0) as u64),
         };
-        let sub = Submission {
-            job: format!("{:016x}", self.next),
+        let submission = Submission {
+            job: format!("{:016x}", self.last_job),
             queue: format!("q{kind}"),
             account: format!("account-{}", self.rng.random_range(0..4)),
-            spec: of.name.to_owned(),
+            spec: params.name.to_owned(),
             steps,
             schedule: None,
         };
-        (sub, truth)
+        (submission, hidden)
     }
 }
--- a/crates/emul/src/run.rs
+++ b/crates/emul/src/run.rs
@@ -1,4 +1,4 @@
-//! A run of the emulator.
+//! Main loop of the emulator.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,62 +9,60 @@
 use sorrelland_fleet::{Submission, Task};
 
 use crate::check::History;
-use crate::load::{Load, Source, Truth};
+use crate::cluster::{Cluster, JobTable};
+use crate::load::{HiddenProperties, JobGenerator, Load};
 use crate::measure::Measure;
 use crate::store::Store;
-use crate::world::{Jobs, World};
 
-/// Virtual time of one step, in milliseconds.
+/// Virtual time that one step of the emulation takes.
 const STEP_MS: u64 = 20;
 
-/// Time between two reports of an agent, in milliseconds.
-const REPORT_EVERY_MS: u64 = 100;
+/// Interval of an agent's reports.
+const REPORT_INTERVAL_MS: u64 = 100;
 
-/// Times that a caller comes back after a refusal.
-const RETRIES: u32 = 4;
+/// Number of times that a caller retries a refused submission.
+const MAX_RETRIES: u32 = 4;
 
-/// Time after the end of the load in which jobs may end, in milliseconds.
+/// Time after the last arrival in which jobs may still end.
 const DRAIN_MS: u64 = 60_000;
 
-/// A run's setup.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Load.
     pub load: Load,
-    /// Seed of everything drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Time with arrivals, in milliseconds.
+    /// Time during which jobs arrive, in milliseconds.
     pub length_ms: u64,
     /// Multiple of the load's rates.
     pub rate: f64,
-    /// Faults a minute; each is drawn from kills of the planner, outages of the store, cuts, crashes and broken
-    /// workers.
+    /// Faults per minute; each is a random one of: the planner is killed, the store is unavailable, an agent is cut off,
+    /// a worker crashes, a worker starts or stops failing its runs, or a worker starts or stops draining.
     pub faults_per_min: f64,
 }
 
-/// What a run gave.
+/// Results of a run.
 #[derive(Debug)]
 pub struct Outcomes {
-    /// What callers got.
     pub measure: Measure,
-    /// What must not have been.
+    /// Violated invariants.
     pub violations: Vec<String>,
-    /// Starts in all.
+    /// Total number of starts of runs on workers.
     pub starts: u64,
-    /// Jobs that had not ended when the run ended.
+    /// Accepted jobs that had not ended by the end of the run.
     pub unended: Vec<String>,
 }
 
 struct Caller {
-    sub: Submission,
-    truth: Truth,
+    submission: Submission,
+    hidden: HiddenProperties,
     first_ms: u64,
     next_ms: u64,
-    tries: u32,
+    attempts: u32,
     accepted: bool,
-    settled: bool,
+    ended: bool,
 }
 
 fn timing(load: &Load) -> Timing {
@@ -79,8 +77,8 @@
 }
 
 fn desired(load: &Load) -> Desired {
-    let queue = |(at, kind): (usize, &crate::load::Kind)| Queue {
-        name: format!("q{at}"),
+    let queue = |(index, kind): (usize, &crate::load::JobKind)| Queue {
+        name: format!("q{index}"),
         service: "service".to_owned(),
         priority: kind.priority,
         max_attempts: kind.max_attempts,
@@ -88,7 +86,7 @@
         full_value_ms: kind.full_value_ms,
         ..Queue::default()
     };
-    let account = |at: u32| (format!("account-{at}"), Account { guaranteed_accelerators: 16 });
+    let account = |index: u32| (format!("account-{index}"), Account { guaranteed_accelerators: 16 });
     Desired {
         version: 1,
         queues: load.kinds.iter().enumerate().map(queue).collect(),
@@ -98,172 +96,182 @@
     }
 }
 
-/// Plays a load over emulated workers.
+/// Runs a load on emulated workers.
 pub fn run(setup: &Setup) -> Outcomes {
     let load = &setup.load;
-    let mut source = Source::new(setup.seed);
+    let mut generator = JobGenerator::new(setup.seed);
     let desired = Arc::new(desired(load));
     let mut planner = Planner::new(timing(load), desired.clone(), Vec::new(), 0);
     let (mut store, mut history) = (Store::default(), History::default());
-    let mut world = World::new(setup.workers, load.stop_ms);
-    let mut callers = arrivals(setup, &mut source);
-    let truths: BTreeMap<String, Truth> =
-        callers.iter().map(|caller| (caller.sub.job.clone(), caller.truth.clone())).collect();
-    let steps: BTreeMap<String, Vec<Step>> =
-        callers.iter().map(|caller| (caller.sub.job.clone(), caller.sub.steps.clone())).collect();
-    let jobs = Jobs { truths: &truths, steps: &steps };
-    let errors: Vec<f64> = load.kinds.iter().map(|kind| kind.errors).collect();
+    let mut cluster = Cluster::new(setup.workers, load.stop_ms);
+    let mut callers = generate_callers(setup, &mut generator);
+    let hidden: BTreeMap<String, HiddenProperties> =
+        callers.iter().map(|caller| (caller.submission.job.clone(), caller.hidden.clone())).collect();
+    let steps: BTreeMap<String, Vec<Step>> = callers
+        .iter()
+        .map(|caller| (caller.submission.job.clone(), caller.submission.steps.clone()))
+        .collect();
+    let jobs = JobTable { hidden: &hidden, steps: &steps };
+    let failure_shares: Vec<f64> = load.kinds.iter().map(|kind| kind.failure_share).collect();
     let mut measure = Measure::new(load);
-    let mut planner_from = 0;
-    let mut now = STEP_MS;
-    while now < setup.length_ms + DRAIN_MS {
-        if now < setup.length_ms {
-            let chance = setup.faults_per_min * STEP_MS as f64 / 60_000.0;
-            if source.chance() < chance {
-                let killed = fault(now, &mut source, &mut world, &mut store, &mut history);
-                if killed {
-                    planner = Planner::new(timing(load), desired.clone(), store.take_over(), now);
-                    planner_from = now + 2_000;
+    let mut planner_start_ms = 0;
+    let mut now_ms = STEP_MS;
+    while now_ms < setup.length_ms + DRAIN_MS {
+        if now_ms < setup.length_ms {
+            let probability = setup.faults_per_min * STEP_MS as f64 / 60_000.0;
+            if generator.draw_uniform() < probability {
+                let planner_killed =
+                    inject_fault(now_ms, &mut generator, &mut cluster, &mut store, &mut history);
+                if planner_killed {
+                    planner = Planner::new(timing(load), desired.clone(), store.fence_and_recover(), now_ms);
+                    planner_start_ms = now_ms + 2_000;
                 }
             }
         }
-        world.step(now, STEP_MS, &jobs, &mut source, &mut history, &errors);
-        if now >= planner_from {
-            for at in 0..world.nodes.len() {
-                if (now / STEP_MS + at as u64).is_multiple_of(REPORT_EVERY_MS / STEP_MS) {
-                    let agent = world.nodes[at].agent.clone();
-                    if let Some(report) = world.report(now, at) {
-                        planner.apply_report(now, now, &report);
-                        if let Some(orders) = planner.assignments(now, &agent) {
-                            world.obey(now, at, &orders, &jobs, &mut history);
+        cluster.step(now_ms, STEP_MS, &jobs, &mut generator, &mut history, &failure_shares);
+        if now_ms >= planner_start_ms {
+            for index in 0..cluster.nodes.len() {
+                if (now_ms / STEP_MS + index as u64).is_multiple_of(REPORT_INTERVAL_MS / STEP_MS) {
+                    let agent = cluster.nodes[index].agent.clone();
+                    if let Some(report) = cluster.report(now_ms, index) {
+                        planner.apply_report(now_ms, now_ms, &report);
+                        if let Some(assignments) = planner.assignments(now_ms, &agent) {
+                            cluster.apply_assignments(now_ms, index, &assignments, &jobs, &mut history);
                         }
                     }
                 }
             }
-            serve(now, &mut callers, &mut planner, &mut measure, &mut history);
-            planner.tick(now, now);
+            step_callers(now_ms, &mut callers, &mut planner, &mut measure, &mut history);
+            planner.tick(now_ms, now_ms);
             drop(planner.take_log());
-            store.step(now, &mut planner);
+            store.step(now_ms, &mut planner);
         }
-        now += STEP_MS;
+        now_ms += STEP_MS;
     }
-    let unended = callers.iter().filter(|caller| caller.accepted && !caller.settled);
-    let unended = unended.map(|caller| caller.sub.job.clone()).collect();
-    settle_rest(load, &callers, &mut measure);
+    let unended = callers.iter().filter(|caller| caller.accepted && !caller.ended);
+    let unended = unended.map(|caller| caller.submission.job.clone()).collect();
+    record_unended(load, &callers, &mut measure);
     Outcomes { measure, violations: history.violations, starts: history.starts, unended }
 }
 
-fn arrivals(setup: &Setup, source: &mut Source) -> Vec<Caller> {
+fn generate_callers(setup: &Setup, generator: &mut JobGenerator) -> Vec<Caller> {
     let mut callers = Vec::new();
-    for at in 0..setup.load.kinds.len() {
-        let mut next = source.gap_ms(setup.load.kinds[at].per_s * setup.rate);
-        while next < setup.length_ms {
-            let (sub, truth) = source.job(&setup.load, at);
-            let first_ms = next + 500;
+    for index in 0..setup.load.kinds.len() {
+        let mut arrival_ms = generator.draw_gap_ms(setup.load.kinds[index].arrivals_per_s * setup.rate);
+        while arrival_ms < setup.length_ms {
+            let (submission, hidden) = generator.generate_job(&setup.load, index);
+            let first_ms = arrival_ms + 500;
             callers.push(Caller {
-                sub,
-                truth,
+                submission,
+                hidden,
                 first_ms,
                 next_ms: first_ms,
-                tries: 0,
+                attempts: 0,
                 accepted: false,
-                settled: false,
+                ended: false,
             });
-            next += source.gap_ms(setup.load.kinds[at].per_s * setup.rate).max(1);
+            arrival_ms += generator.draw_gap_ms(setup.load.kinds[index].arrivals_per_s * setup.rate).max(1);
         }
     }
     callers.sort_by_key(|caller| caller.first_ms);
     callers
 }
 
-/// Brings a fault about; returns whether it is the planner's end.
-fn fault(now: u64, source: &mut Source, world: &mut World, store: &mut Store, history: &mut History) -> bool {
-    let at = (source.chance() * world.nodes.len() as f64) as usize % world.nodes.len();
-    match (source.chance() * 6.0) as u32 {
+/// Injects a random fault; returns whether the planner has to be replaced.
+fn inject_fault(
+    now_ms: u64,
+    generator: &mut JobGenerator,
+    cluster: &mut Cluster,
+    store: &mut Store,
+    history: &mut History,
+) -> bool {
+    let index = (generator.draw_uniform() * cluster.nodes.len() as f64) as usize % cluster.nodes.len();
+    match (generator.draw_uniform() * 6.0) as u32 {
         0 => return true,
-        1 => store.down_until = now + 4_000,
-        2 => world.nodes[at].cut_until = now + 5_500,
-        3 => world.crash(now, at, history),
-        4 => world.nodes[at].broken = !world.nodes[at].broken,
-        _ => world.nodes[at].draining = !world.nodes[at].draining,
+        1 => store.unavailable_until_ms = now_ms + 4_000,
+        2 => cluster.nodes[index].cut_off_until_ms = now_ms + 5_500,
+        3 => cluster.crash(now_ms, index, history),
+        4 => cluster.nodes[index].broken = !cluster.nodes[index].broken,
+        _ => cluster.nodes[index].draining = !cluster.nodes[index].draining,
     }
     false
 }
 
-/// Lets callers hand in, cancel and ask.
-fn serve(
-    now: u64,
+/// Lets callers submit their jobs, query them and cancel them.
+fn step_callers(
+    now_ms: u64,
     callers: &mut [Caller],
     planner: &mut Planner,
     measure: &mut Measure,
     history: &mut History,
 ) {
-    for caller in callers.iter_mut().filter(|caller| !caller.settled && caller.first_ms <= now) {
-        let job = caller.sub.job.clone();
+    for caller in callers.iter_mut().filter(|caller| !caller.ended && caller.first_ms <= now_ms) {
+        let job = caller.submission.job.clone();
         if !caller.accepted {
-            if now < caller.next_ms || caller.tries > RETRIES {
+            if now_ms < caller.next_ms || caller.attempts > MAX_RETRIES {
                 continue;
             }
-            caller.tries += 1;
-            match planner.submit(now, now, &caller.sub) {
-                Admission::Accepted { .. } => caller.next_ms = now + 1_000,
-                Admission::Refused { retry_after_ms, .. } => caller.next_ms = now + retry_after_ms,
+            caller.attempts += 1;
+            match planner.submit(now_ms, now_ms, &caller.submission) {
+                Admission::Accepted { .. } => caller.next_ms = now_ms + 1_000,
+                Admission::Refused { retry_after_ms, .. } => caller.next_ms = now_ms + retry_after_ms,
             }
         }
         let Some(state) = planner.state(&job) else { continue };
         caller.accepted = true;
-        if caller.truth.cancel_after_ms.is_some_and(|after| now >= caller.first_ms + after) {
-            planner.cancel(now, now, &job);
+        if caller.hidden.cancel_after_ms.is_some_and(|after| now_ms >= caller.first_ms + after) {
+            planner.cancel(now_ms, now_ms, &job);
         }
         let JobState::Ended(outcome) = state else { continue };
-        caller.settled = true;
+        caller.ended = true;
         if outcome == Outcome::Completed {
-            let steps = (0..).zip(&caller.sub.steps);
-            let all = steps.flat_map(|(step, of)| (0..of.count).map(move |index| (step, index)));
+            let steps = (0..).zip(&caller.submission.steps);
+            let subtasks = steps.flat_map(|(step, params)| (0..params.count).map(move |index| (step, index)));
             let task = |(step, index)| Task { job: job.clone(), occurrence: 0, step, index };
-            history.completed(now, &job, all.map(task));
+            history.check_completion(now_ms, &job, subtasks.map(task));
         }
-        let owed = outcome != Outcome::Cancelled;
-        let good = (outcome == Outcome::Completed) != caller.truth.poison;
-        note(caller, measure, owed, good.then_some(now - caller.first_ms));
+        let uncancelled = outcome != Outcome::Cancelled;
+        let as_expected = (outcome == Outcome::Completed) != caller.hidden.always_fails;
+        record_outcome(caller, measure, uncancelled, as_expected.then_some(now_ms - caller.first_ms));
     }
 }
 
-fn note(caller: &Caller, measure: &mut Measure, owed: bool, age_ms: Option<u64>) {
-    if !owed {
+/// Counts the outcome of a job that the caller did not cancel; `age_ms` is its age at the end if it ended as it should.
+fn record_outcome(caller: &Caller, measure: &mut Measure, uncancelled: bool, age_ms: Option<u64>) {
+    if !uncancelled {
         return;
     }
-    let tally = &mut measure.kinds[caller.truth.kind];
-    tally.owed += 1;
-    let chain: u64 = caller.truth.work_ms.iter().sum();
-    let (stretch, full) = match caller.sub.queue.as_str() {
+    let outcomes = &mut measure.kinds[caller.hidden.kind];
+    outcomes.uncancelled += 1;
+    let total_work_ms: u64 = caller.hidden.work_ms.iter().sum();
+    let (stretch, full_value_ms) = match caller.submission.queue.as_str() {
         "q1" => (1_500, 250),
         "q0" => (3_000, 1_000),
         _ => (3_000, 3_000),
     };
-    let target = chain * stretch / 1_000 + full;
-    let (in_time, late) = [(3.0, 0.9), (4.0, 0.8), (1.0, 0.3)][caller.truth.kind.min(2)];
-    tally.worth.1 += in_time;
+    let target = total_work_ms * stretch / 1_000 + full_value_ms;
+    let (in_time, late) = [(3.0, 0.9), (4.0, 0.8), (1.0, 0.3)][caller.hidden.kind.min(2)];
+    outcomes.value.1 += in_time;
     match age_ms {
         Some(age) if age <= target => {
-            tally.in_time += 1;
-            tally.worth.0 += in_time;
+            outcomes.in_time += 1;
+            outcomes.value.0 += in_time;
         }
         Some(age) if age <= 3 * target => {
-            tally.late += 1;
-            tally.worth.0 += late;
+            outcomes.late += 1;
+            outcomes.value.0 += late;
         }
         _ => (),
     }
 }
 
-/// Counts the jobs that never ended or were never accepted.
-fn settle_rest(load: &Load, callers: &[Caller], measure: &mut Measure) {
+/// Counts the jobs that did not end or were not accepted.
+fn record_unended(load: &Load, callers: &[Caller], measure: &mut Measure) {
     debug_assert_eq!(measure.kinds.len(), load.kinds.len());
-    for caller in callers.iter().filter(|caller| !caller.settled) {
+    for caller in callers.iter().filter(|caller| !caller.ended) {
         if !caller.accepted {
-            measure.kinds[caller.truth.kind].refused += 1;
+            measure.kinds[caller.hidden.kind].refused += 1;
         }
-        note(caller, measure, true, None);
+        record_outcome(caller, measure, true, None);
     }
 }
--- a/crates/emul/src/store.rs
+++ b/crates/emul/src/store.rs
@@ -1,4 +1,4 @@
-//! The emulated store: what a planner wrote, and what a successor reads.
+//! The emulated store, from which a new planner reads the jobs of its predecessor.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,26 +6,29 @@
 use sorrelland_fleet::planner::Planner;
 use sorrelland_fleet::record::{self, Record};
 
-/// Newest records by key, with appends on their way.
+/// Latest record of each key, and the appends in flight.
 #[derive(Debug, Default)]
 pub struct Store {
     records: BTreeMap<String, Vec<u8>>,
-    on_the_way: VecDeque<(u64, Vec<Record>, u64)>,
-    /// Until when nothing is stored, in virtual milliseconds.
-    pub down_until: u64,
+    /// Time at which the append completes, its records, and the number of the planner's change.
+    in_flight: VecDeque<(u64, Vec<Record>, u64)>,
+    /// Virtual time until which no append completes, in milliseconds.
+    pub unavailable_until_ms: u64,
 }
 
-/// Time of an append, in milliseconds.
+/// Duration of an append, in milliseconds.
 const APPEND_MS: u64 = 8;
 
 impl Store {
-    /// Takes the planner's changes, and completes the appends that are due.
-    pub fn step(&mut self, now: u64, planner: &mut Planner) {
+    /// Starts an append of the planner's changes and completes the appends that are due.
+    pub fn step(&mut self, now_ms: u64, planner: &mut Planner) {
         if let Some((records, change)) = planner.take_changes() {
-            self.on_the_way.push_back((now + APPEND_MS, records, change));
+            self.in_flight.push_back((now_ms + APPEND_MS, records, change));
         }
-        while now >= self.down_until && self.on_the_way.front().is_some_and(|(due, _, _)| *due <= now) {
-            let Some((_, records, change)) = self.on_the_way.pop_front() else { break };
+        while now_ms >= self.unavailable_until_ms
+            && self.in_flight.front().is_some_and(|(due_ms, _, _)| *due_ms <= now_ms)
+        {
+            let Some((_, records, change)) = self.in_flight.pop_front() else { break };
             for Record { key, value } in records {
                 match value.is_empty() {
                     true => self.records.remove(&key),
@@ -36,16 +39,16 @@
         }
     }
 
-    /// Forgets appends on their way, as a fence does, and returns the jobs that are stored.
+    /// Drops the appends in flight, as fencing the old planner does, and returns the stored jobs.
     ///
     /// # Panics
     ///
-    /// Panics if a record can't be read back.
-    pub fn take_over(&mut self) -> Vec<Job> {
-        self.on_the_way.clear();
+    /// Panics if a record cannot be decoded.
+    pub fn fence_and_recover(&mut self) -> Vec<Job> {
+        self.in_flight.clear();
         let rows = self.records.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
         let (jobs, findings) = record::read(rows);
-        assert!(findings.is_empty(), "records can't be read back: {findings:?}");
+        assert!(findings.is_empty(), "undecodable records: {findings:?}");
         jobs
     }
 }
--- a/crates/emul/tests/rules.rs
+++ b/crates/emul/tests/rules.rs
@@ -1,4 +1,4 @@
-//! What must always hold, over drawn loads and faults.
+//! Checks the scheduler's invariants under random loads and faults.
 
 use sorrelland_emul::load::by_name;
 use sorrelland_emul::{Setup, run};
@@ -15,9 +15,9 @@
     cmsc_faults = { "cmsc", 1.0, 20.0 },
     cmsc_many_faults = { "cmsc", 1.5, 60.0 },
 )]
-fn run_keeps_rules(load: &str, rate: f64, faults: f64) {
+fn run_keeps_invariants(load: &str, rate: f64, faults_per_min: f64) {
     for seed in 1..=12 {
-        let outcomes = run(&setup(load, seed, rate, faults));
+        let outcomes = run(&setup(load, seed, rate, faults_per_min));
         assert!(outcomes.violations.is_empty(), "seed {seed}: {:#?}", outcomes.violations);
         assert!(outcomes.starts > 0, "seed {seed}: nothing started");
     }
@@ -33,7 +33,7 @@
 
 #[test]
 fn run_repeats_with_its_seed() {
-    let (one, other) = (run(&setup("hpms", 3, 1.0, 20.0)), run(&setup("hpms", 3, 1.0, 20.0)));
-    assert_eq!(one.starts, other.starts);
-    assert_eq!(one.measure.served().to_bits(), other.measure.served().to_bits());
+    let (first, second) = (run(&setup("hpms", 3, 1.0, 20.0)), run(&setup("hpms", 3, 1.0, 20.0)));
+    assert_eq!(first.starts, second.starts);
+    assert_eq!(first.measure.served().to_bits(), second.measure.served().to_bits());
 }
--- a/crates/sorrelland/src/bin/sorrelland-emul.rs
+++ b/crates/sorrelland/src/bin/sorrelland-emul.rs
@@ -12,7 +12,7 @@
             print!("{HELP}");
             return ExitCode::SUCCESS;
         }
-        Ok(Command::Play(options)) => options,
+        Ok(Command::Run(options)) => options,
         Err(e) => {
             eprintln!("sorrelland-emul: {e}\n\n{HELP}");
             return ExitCode::from(2);
