--- a/crates/emul/src/cluster.rs
+++ b/crates/emul/src/cluster.rs
@@ -262,7 +262,7 @@
                     ending.push((key.clone(), EndReason::Lapsed));
                     continue;
                 }
-                if run.stop_at_ms.is_some_and(|stop_ms| now_ms >= stop_ms) {
+                if run.stop_at_ms.is_some_and(|stop_at| now_ms >= stop_at) {
                     if step.saves_progress {
                         run.saved_ms = run.done_ms;
                     }
--- a/crates/emul/src/load.rs
+++ b/crates/emul/src/load.rs
@@ -54,7 +54,7 @@
     pub stop_ms: u64,
 }
 
-/// Accelerators per subtask of kinds that need several; 8 is twice as frequent.
+/// Numbers of accelerators of a subtask; 8 is drawn twice as often as each of the others.
 const ACCELERATOR_COUNTS: &[i64] = &[1, 2, 4, 8, 8];
 
 /// Returns the load of the deployment `hpms` or `cmsc`.
--- a/crates/emul/src/run.rs
+++ b/crates/emul/src/run.rs
@@ -38,8 +38,8 @@
     pub length_ms: u64,
     /// Multiple of the load's rates.
     pub rate: f64,
-    /// Faults per minute; each is a random one of: the planner is killed, the store is unavailable, an agent is cut off,
-    /// a worker crashes, a worker starts or stops failing its runs, or a worker starts or stops draining.
+    /// Faults per minute. Each is drawn from: the planner is killed, the store is unavailable, an agent is cut off, a
+    /// worker crashes, a worker starts or stops failing its runs, and a worker starts or stops draining.
     pub faults_per_min: f64,
 }
 
@@ -236,7 +236,8 @@
     }
 }
 
-/// Counts the outcome of a job that the caller did not cancel; `age_ms` is its age at the end if it ended as it should.
+/// Counts the outcome of a job unless its caller cancelled it. `age_ms` is its age at the end if it ended as it
+/// should: failed if its runs all fail, completed otherwise.
 fn record_outcome(caller: &Caller, measure: &mut Measure, uncancelled: bool, age_ms: Option<u64>) {
     if !uncancelled {
         return;
--- a/crates/emul/tests/rules.rs
+++ b/crates/emul/tests/rules.rs
@@ -8,8 +8,8 @@
 }
 
 #[yare::parameterized(
-    hpms_calm = { "hpms", 0.6, 0.0 },
-    cmsc_calm = { "cmsc", 0.6, 0.0 },
+    hpms_no_faults = { "hpms", 0.6, 0.0 },
+    cmsc_no_faults = { "cmsc", 0.6, 0.0 },
     hpms_burst = { "hpms", 2.0, 0.0 },
     hpms_faults = { "hpms", 1.0, 20.0 },
     cmsc_faults = { "cmsc", 1.0, 20.0 },
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn run_ends_every_accepted_job_when_calm() {
+fn run_ends_every_accepted_job_without_faults() {
     for seed in 1..=8 {
         let outcomes = run(&setup("hpms", seed, 0.6, 0.0));
         assert!(outcomes.unended.is_empty(), "seed {seed}: {:?}", outcomes.unended);
