--- a/crates/control/src/active_planner.rs
+++ b/crates/control/src/active_planner.rs
@@ -10,8 +10,8 @@
 use sorrelland_fleet::job::{Step, Submission};
 use sorrelland_fleet::planner::{Admission, Planner, Timing};
 use sorrelland_fleet::report::Report;
-use sorrelland_platform::store::{Error, Writer, keyed};
-use sorrelland_platform::{Policy, Store};
+use sorrelland_platform::store::{Error, Writer, encode_keyed};
+use sorrelland_platform::{PolicyClient, Store};
 use tokio::sync::{Notify, watch};
 
 use crate::adaptive_timeout::AdaptiveTimeout;
@@ -65,7 +65,7 @@
     /// Fences every earlier writer, reads the jobs and spawns the tasks of the planner.
     pub async fn start(
         store: &Store,
-        policy: Option<Policy>,
+        policy: Option<PolicyClient>,
         leader: Leader,
         timing: Timing,
         desired: Arc<Desired>,
@@ -162,7 +162,7 @@
             self.append.notified().await;
             loop {
                 let Some((records, change)) = lock(&self.planner).take_changes() else { break };
-                let raw: Vec<Vec<u8>> = records.iter().map(keyed).collect();
+                let raw: Vec<Vec<u8>> = records.iter().map(encode_keyed).collect();
                 for part in split_into_appends(raw) {
                     if !self.append_part(&store, &mut writer, &mut append_timeout, &part).await {
                         return;
@@ -195,7 +195,7 @@
             let appended = store.append_as(JOBS, writer, part, append_timeout.wait()).await;
             metrics::record_append(append_outcome(&appended), began);
             match &appended {
-                Err(e) if !e.nothing_done() => append_timeout.record_timeout(),
+                Err(e) if !e.not_applied() => append_timeout.record_timeout(),
                 _ => append_timeout.record_reply(began.elapsed()),
             }
             match appended {
@@ -216,7 +216,7 @@
                     return false;
                 }
                 Err(e) => {
-                    unanswered |= !e.nothing_done();
+                    unanswered |= !e.not_applied();
                     tries += 1;
                     if tries == 1 || tries.is_multiple_of(TRIES_PER_LOG_LINE) {
                         let sequence = writer.sequence;
@@ -244,7 +244,7 @@
     }
 
     /// Sends approval requests one at a time, since the policy service answers them one at a time anyway.
-    async fn run_approval_requests(self: Arc<Self>, policy: Policy) {
+    async fn run_approval_requests(self: Arc<Self>, policy: PolicyClient) {
         while !self.has_stepped_down() {
             let approval_request = lock(&self.planner).next_approval_request(now_ms());
             let Some((step, workers)) = approval_request else {
@@ -253,7 +253,7 @@
                 continue;
             };
             let name = format!("{}.{}.{}", step.0, step.1, step.2);
-            match policy.ask(&name, &workers).await {
+            match policy.request_approvals(&name, &workers).await {
                 Ok(approvals) => {
                     let mut planner = lock(&self.planner);
                     planner.record_approvals(
@@ -281,9 +281,9 @@
             true
         };
         tokio::select! {
-            done = stored => done,
-            _ = stepped_down.wait_for(|stepped_down| *stepped_down) => false,
-            () = tokio::time::sleep(wait) => false,
+        done = stored => done,
+        _ = stepped_down.wait_for(|stepped_down| *stepped_down) => false,
+        () = tokio::time::sleep(wait) => false,
         }
     }
 
@@ -303,7 +303,7 @@
                         let Self { leader, .. } = self;
                         log::info!(
                             "event=refused job={} queue={} account={} epoch={} retry_after_ms={retry_after_ms} \
-                             why=\"{why}\"",
+why=\"{why}\"",
                             sub.job,
                             sub.queue,
                             sub.account,
--- a/crates/control/src/agent.rs
+++ b/crates/control/src/agent.rs
@@ -9,7 +9,7 @@
 use http::{Method, StatusCode};
 use sorrelland_fleet::assignments::{Pace, Start, Stop};
 use sorrelland_platform::serve::{self, Answer, Call};
-use sorrelland_platform::worker::{Error, StartOrder, Started, announcement};
+use sorrelland_platform::worker::{Error, StartOutcome, StartRequest, decode_announcement};
 use sorrelland_platform::{Settings, Store, WorkerClient};
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
@@ -74,19 +74,19 @@
 ///
 /// Fails if a setting is missing or an address can't be used.
 pub async fn run(settings: Settings, path: PathBuf, metrics_port: Option<u16>) -> Result<()> {
-    let listen = settings.announcements.ok_or(RunError::Missing("the address for announcements"))?;
-    let worker = settings.worker.ok_or(RunError::Missing("the address of the worker"))?;
+    let listen = settings.announcement_address.ok_or(RunError::Missing("the address for announcements"))?;
+    let worker = settings.worker_address.ok_or(RunError::Missing("the address of the worker"))?;
     let signal_state = signals::listen();
     tokio::spawn(reload::watch_settings(path, settings.clone(), signal_state.clone()));
     let handle_metrics = Arc::new(|_| async { metrics::render() }.boxed());
     crate::entry::serve_metrics(&settings, metrics_port, handle_metrics)?;
-    let store = Store::new(&settings.store);
+    let store = Store::new(&settings.store_address);
     let agent = Arc::new(Agent {
         incarnation: rand::random(),
         leadership: Leadership::default(),
-        links: EntryPool::new(&settings.store),
+        links: EntryPool::new(&settings.store_address),
         worker: WorkerClient::new(&worker.to_string()),
-        worker_state: Mutex::new(WorkerState::new(settings.bounds.longest_lease_ms, settings.bounds.stop_ms)),
+        worker_state: Mutex::new(WorkerState::new(settings.bounds.max_lease_ms, settings.bounds.stop_ms)),
         entries: Mutex::default(),
         report_due: Notify::new(),
         dispatch_due: Notify::new(),
@@ -126,7 +126,7 @@
             return Answer::new(StatusCode::NOT_FOUND);
         };
         match call.method {
-            Method::PUT => match announcement(incarnation, &call.body) {
+            Method::PUT => match decode_announcement(incarnation, &call.body) {
                 Ok(announcement) => {
                     let draining = announcement.info.draining;
                     if lock(&self.worker_state).apply_announcement(now_ms(), announcement) {
@@ -278,7 +278,7 @@
             state.record_start_attempt(start);
             (state.epoch(), lease_end_ms)
         };
-        let order = StartOrder {
+        let order = StartRequest {
             task: &start.task,
             run: start.run,
             spec: &start.spec,
@@ -289,7 +289,7 @@
         };
         let (job, task, run) = (&start.task.job, &start.task, start.run);
         match self.worker.start(incarnation, &order).await {
-            Ok((Started::Running, clock_ms)) => {
+            Ok((StartOutcome::Running, clock_ms)) => {
                 log::info!(
                     "event=started job={job} task={task} run={run} worker={incarnation} token={token}"
                 );
@@ -300,14 +300,14 @@
                 state.record_start(incarnation, start, clock_ms.unwrap_or_default());
                 true
             }
-            Ok((Started::Never(why), _)) => {
+            Ok((StartOutcome::Rejected(why), _)) => {
                 log::warn!(
                     "event=start_refused job={job} task={task} run={run} worker={incarnation} why={why}"
                 );
                 lock(&self.worker_state).expect_absence(incarnation, task, run, &why);
                 true
             }
-            Ok((Started::NotNow(why), clock_ms)) => {
+            Ok((StartOutcome::Deferred(why), clock_ms)) => {
                 log::warn!(
                     "event=start_delayed job={job} task={task} run={run} worker={incarnation} why=\"{why}\""
                 );
@@ -354,7 +354,7 @@
     async fn send_pace(&self, incarnation: &str, pace: &Pace) -> bool {
         let token = lock(&self.worker_state).epoch();
         let Pace { task, run, percent } = pace;
-        match self.worker.pace(incarnation, task, *run, *percent, token).await {
+        match self.worker.set_speed(incarnation, task, *run, *percent, token).await {
             Ok(()) => {
                 lock(&self.worker_state).record_pace(incarnation, pace);
                 true
@@ -371,7 +371,7 @@
     }
 
     fn record_call_error(&self, incarnation: &str, error: &Error) {
-        if matches!(error, Error::OtherLife) {
+        if matches!(error, Error::OtherIncarnation) {
             log::warn!("event=worker_replaced worker={incarnation}");
             lock(&self.worker_state).end_incarnation(incarnation);
         }
@@ -412,7 +412,7 @@
             let mut state = lock(&self.worker_state);
             (state.begin_poll(), state.epoch(), state.acknowledged(), state.extend_lease(now_ms()))
         };
-        match self.worker.look(incarnation, token, acknowledged, lease_end_ms, wait).await {
+        match self.worker.poll(incarnation, token, acknowledged, lease_end_ms, wait).await {
             Ok(listing) => {
                 if lock(&self.worker_state).apply_listing(now_ms(), poll, incarnation, listing) {
                     self.report_due.notify_one();
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use sorrelland_fleet::record::Record;
 use sorrelland_platform::Store;
-use sorrelland_platform::store::{Error, keyed};
+use sorrelland_platform::store::{Error, encode_keyed};
 use tokio::sync::watch;
 
 use crate::calls::Leader;
@@ -208,9 +208,9 @@
         let began = now_ms();
         let wait = if leadership.is_refusing() { REFUSING_READ_WAIT } else { READ_WAIT };
         let read = tokio::select! {
-            read = store.read(RENEWALS, from, wait) => read,
-            // The sender exists as long as `leadership`.
-            Ok(()) = leader_changes.changed() => continue,
+        read = store.read(RENEWALS, from, wait) => read,
+        // The sender exists as long as `leadership`.
+        Ok(()) = leader_changes.changed() => continue,
         };
         match read {
             Ok(read) => {
@@ -253,7 +253,7 @@
 /// Claims the leadership; returns the leader if it is now this process. Appends no claim if another one came after
 /// `epoch`, whose leader has timed out.
 pub async fn claim(store: &Store, leadership: &Leadership, me: &Leader, epoch: u64) -> Option<Leader> {
-    let end = match store.newest(CLAIMS).await {
+    let end = match store.read_latest(CLAIMS).await {
         Ok((items, end)) => {
             for item in &items {
                 leadership.apply_claim(&item.key, &item.value, item.offset);
@@ -271,7 +271,7 @@
     let claim =
         Claim { instance: me.instance.clone(), address: me.address.clone(), incarnation: me.incarnation };
     let value = serde_json::to_vec(&claim).ok()?;
-    let record = keyed(&Record { key: KEY.to_owned(), value });
+    let record = encode_keyed(&Record { key: KEY.to_owned(), value });
     let mine = Leader { epoch: end + 1, ..me.clone() };
     match store.append(CLAIMS, &[record], Some(end)).await {
         Ok(offset) => {
@@ -279,7 +279,7 @@
             leadership.update_leader(Some(mine.clone()));
             Some(mine)
         }
-        Err(e) if e.nothing_done() => {
+        Err(e) if e.not_applied() => {
             log::info!("event=claim_refused cause=\"{e}\"");
             None
         }
@@ -295,7 +295,7 @@
 async fn resolve(store: &Store, leadership: &Leadership, mine: &Leader) -> Option<Leader> {
     for _ in 0..MAX_RESOLVE_ATTEMPTS {
         tokio::time::sleep(RETRY_DELAY).await;
-        if let Ok((items, end)) = store.newest(CLAIMS).await {
+        if let Ok((items, end)) = store.read_latest(CLAIMS).await {
             for item in &items {
                 leadership.apply_claim(&item.key, &item.value, item.offset);
             }
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sorrelland_platform::Store;
-use sorrelland_platform::store::{Error, split_keyed};
+use sorrelland_platform::store::{Error, decode_keyed};
 
 /// Delay after a first failed call and maximum delay, in milliseconds; it doubles with each further failure.
 const RETRY_DELAY_MS: (u64, u64) = (150, 1_000);
@@ -16,7 +16,7 @@
     let mut delay_ms = RETRY_DELAY_MS.0;
     loop {
         let failed = match from {
-            None => match store.newest(topic).await {
+            None => match store.read_latest(topic).await {
                 Ok((items, end)) => {
                     for item in items {
                         apply(&item.key, &item.value, item.offset);
@@ -29,7 +29,7 @@
             Some(offset) => match store.read(topic, offset, wait).await {
                 Ok(read) => {
                     for (offset, raw) in (offset..).zip(&read.records) {
-                        match split_keyed(raw) {
+                        match decode_keyed(raw) {
                             Some((key, value)) => apply(key, value, offset),
                             None => log::warn!("event=record_skipped topic={topic} offset={offset}"),
                         }
