--- a/crates/daemon/src/entry/api.rs
+++ b/crates/daemon/src/entry/api.rs
@@ -19,7 +19,7 @@
 use crate::entry::answer::{JobAnswer, JobBody, RequestBody, respond};
 use crate::entry::attempt::Attached;
 use crate::entry::burn::Objective;
-use crate::entry::{Entry, operator, wall_ms, write};
+use crate::entry::{Entry, operator, unix_ms, write};
 use crate::sync::lock;
 
 /// Result of a request.
@@ -108,7 +108,7 @@
     let elapsed = started.elapsed();
     entry.metrics.request(account.as_str(), answer.outcome(), elapsed.as_secs_f64());
     let late = elapsed > Duration::from_millis(body.deadline_ms);
-    lock(&entry.burn).record(&account, Objective::Answers, answer.event(late), wall_ms());
+    lock(&entry.burn).record(&account, Objective::Answers, answer.event(late), unix_ms());
     let outcome = answer.outcome();
     log::debug!(request = id.as_str(); "{outcome} for {account} in {} us", elapsed.as_micros());
     answer.into_response()
@@ -248,7 +248,7 @@
         state,
         outcome,
         workers,
-        age_ms: wall_ms().saturating_sub(job.accepted_ms),
+        age_ms: unix_ms().saturating_sub(job.accepted_ms),
         known_ms_ago: entry.config_age_ms(),
     }
 }
@@ -256,7 +256,7 @@
 impl Entry {
     /// Checks whether a demand may wait.
     fn admit(&self, demand: &Demand) -> Result<()> {
-        let mut tables = self.tables(wall_ms());
+        let mut tables = self.tables(unix_ms());
         if tables.workers.is_empty() {
             let error = ApiError::new(503, "no_upstream", "no worker is known yet");
             return Err(error.with_retry_after_ms(RETRY_MS));
@@ -287,7 +287,7 @@
     /// Records a job and its claim in one append; only then is it accepted.
     async fn accept(&self, name: &str, id: JobId, spec: JobSpec) -> Result<Response<Body>> {
         let records = vec![
-            Record::Accepted { job: id.clone(), spec: spec.clone(), accepted_ms: wall_ms() },
+            Record::Accepted { job: id.clone(), spec: spec.clone(), accepted_ms: unix_ms() },
             Record::Claim { job: id.clone(), entry: self.claimant.clone(), base: 0 },
         ];
         self.write(records).await.map_err(write_error)?;
@@ -310,7 +310,7 @@
     async fn run_attached(&self, body: &JobBody, id: JobId, spec: JobSpec) -> Result<Response<Body>> {
         let id = JobId::new(&format!("{id}~{:08x}", rand::random::<u32>()));
         let (tx, mut rx) = oneshot::channel();
-        let attached = Attached { spec, since_ms: wall_ms(), started: false, answered: Some(tx) };
+        let attached = Attached { spec, since_ms: unix_ms(), started: false, outcome_tx: Some(tx) };
         lock(&self.attached).insert(id.clone(), attached);
         self.wake.notify_one();
         let start_by = Instant::now() + Duration::from_millis(body.start_within_ms);
@@ -343,7 +343,7 @@
     /// Takes an attached job back if no attempt got past its reservation.
     fn withdraw(&self, id: &JobId) -> bool {
         let mut table = lock(&self.attached);
-        let waits = table.get(id).is_none_or(Attached::waits);
+        let waits = table.get(id).is_none_or(Attached::is_waiting);
         if waits {
             table.remove(id);
         }
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to run a gang: reserve, record, commit, watch and end.
+//! One attempt to run a gang: reserve its workers, record the placement, commit, watch, and record the end.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,66 +16,66 @@
 use crate::entry::Entry;
 use crate::sync::lock;
 
-/// Time for one call to an agent.
+/// Time-out of one call to an agent.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks at a gang behind the barrier.
-const BARRIER_POLL: Duration = Duration::from_millis(20);
+/// Interval between commit calls while the members of a gang are still gathering.
+const COMMIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks at a running gang.
-const RUNNING_POLL: Duration = Duration::from_millis(250);
+/// Interval between status calls for a running gang.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two tries of a reservation while others yield.
-const YIELD_POLL: Duration = Duration::from_millis(50);
+/// Delay between reserve calls while other jobs are being preempted on the worker.
+const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Margin on top of the time within which others yield.
+/// Margin added to the time within which the agent says that the preempted jobs will have yielded.
 const YIELD_MARGIN: Duration = Duration::from_millis(2_000);
 
-/// Time between two tries to record an outcome while the log is down.
-const RECORD_RETRY: Duration = Duration::from_millis(500);
+/// Delay before an outcome is written again after a failed write.
+const RECORD_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Time without a word of the claimant after which a recorded job's gang stops, in milliseconds.
+/// Claim lease of a job on the log: its gang stops after this time without contact to the claimant.
 const LOGGED_CLAIM_LEASE_MS: Millis = 60_000;
 
-/// Time without a word of the entry after which an attached job's gang stops, in milliseconds.
+/// Claim lease of an attached job: its gang stops after this time without contact to the entry.
 const ATTACHED_CLAIM_LEASE_MS: Millis = 5_000;
 
-/// Leases after which a gang with a fenced member has stopped everywhere.
-const LEASES_TO_SETTLE: u32 = 2;
+/// Lease durations after which a gang with a fenced member has stopped on every worker.
+const LEASES_UNTIL_STOPPED: u32 = 2;
 
-/// Failed attempts after which an idempotent job fails for good.
-const ATTEMPTS: u16 = 3;
+/// Failed attempts after which an idempotent job fails permanently.
+const MAX_ATTEMPTS: u16 = 3;
 
 /// Where a job comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The log, claimed at an offset.
+    /// The job is on the log and claimed by this entry.
     Logged {
         /// Offset of the claim.
         claim: u64,
-        /// The greatest epoch recorded.
+        /// Greatest epoch recorded for the job.
         last_epoch: Epoch,
     },
-    /// A caller that waits for it.
+    /// The caller waits for the outcome; the job is not on the log.
     Attached,
 }
 
-/// A job whose caller waits for it; it is not on the log.
+/// A job whose caller waits for the outcome; it is not on the log.
 pub struct Attached {
-    /// What was asked for.
+    /// Submitted specification.
     pub spec: JobSpec,
-    /// When the caller came, in milliseconds since 1970.
+    /// Time of submission, in milliseconds since 1970.
     pub since_ms: Millis,
-    /// Whether an attempt got past its reservation.
+    /// Whether an attempt has reserved all its workers.
     pub started: bool,
-    /// Where the final outcome goes; `None` once it was sent.
-    pub answered: Option<oneshot::Sender<JobOutcome>>,
+    /// Channel to the caller for the final outcome; `None` once it was sent.
+    pub outcome_tx: Option<oneshot::Sender<JobOutcome>>,
 }
 
 impl Attached {
-    /// Returns whether the job still waits for its gang.
-    pub fn waits(&self) -> bool {
-        !self.started && self.answered.is_some()
+    /// Returns whether no attempt has reserved the workers yet and no outcome was sent.
+    pub fn is_waiting(&self) -> bool {
+        !self.started && self.outcome_tx.is_some()
     }
 }
 
@@ -85,17 +85,18 @@
     Done,
     /// A task failed.
     Failed(String),
-    /// The gang was stopped; what ran is kept.
+    /// The gang was stopped before every task finished.
     Stopped {
+        /// Run time that every member has preserved, in milliseconds; 0 if some member did not reply.
         done_ms: Millis,
-        /// Whether some member may have started.
+        /// Whether some member may have started its tasks.
         may_have_run: bool,
-        /// Whether somebody asked to cancel it.
+        /// Whether the job was cancelled.
         cancelled: bool,
     },
 }
 
-/// A gang at its members.
+/// The gang of one attempt.
 struct Gang<'a> {
     job: &'a JobId,
     epoch: Epoch,
@@ -105,7 +106,7 @@
 }
 
 impl Entry {
-    /// Tries once to run a waiting job on `placement`.
+    /// Makes one attempt to run a waiting job on `placement`, and records its end.
     pub(super) async fn attempt(
         &self,
         job: &JobId,
@@ -115,26 +116,26 @@
         cause: Option<Cause>,
         done_ms: Millis,
     ) {
-        let Some(gang) = self.gang(job, source, placement) else { return };
-        log::info!(job = job.as_str(); "reserves epoch {} on {} workers", gang.epoch, gang.members.len());
+        let Some(gang) = self.next_gang(job, source, placement) else { return };
+        log::info!(job = job.as_str(); "reserving epoch {} on {} workers", gang.epoch, gang.members.len());
         if !self.reserve_all(&gang, spec, placement, cause, done_ms).await {
             self.stop_all(&gang).await;
             return;
         }
         if !self.record_placed(&gang, placement).await {
-            log::warn!(job = job.as_str(); "epoch {} is not on the log and is given up", gang.epoch);
+            log::warn!(job = job.as_str(); "epoch {} was not recorded on the log; stopping the attempt", gang.epoch);
             self.stop_all(&gang).await;
             return;
         }
         self.metrics.job("placed");
         let end = match self.commit(&gang).await {
             true => self.watch(&gang).await,
-            false => self.settle(&gang).await,
+            false => self.fence_gang(&gang).await,
         };
-        self.conclude(&gang, spec, end).await;
+        self.record_end(&gang, spec, end).await;
     }
 
-    /// Looks after a gang that another entry, or an earlier life of this one, recorded.
+    /// Watches a gang that another entry, or an earlier incarnation of this one, recorded.
     pub(super) async fn watch_adopted(&self, job: &JobId, spec: &JobSpec, placed: &RecordedAttempt) {
         let peer = |worker: &WorkerId| Peer { worker: worker.clone(), address: self.agent_address(worker) };
         let gang = Gang {
@@ -144,12 +145,13 @@
             commit_point: peer(&placed.commit_point),
             source: Source::Logged { claim: 0, last_epoch: placed.epoch },
         };
-        log::info!(job = job.as_str(); "takes over epoch {}", gang.epoch);
+        log::info!(job = job.as_str(); "taking over epoch {}", gang.epoch);
         let end = self.watch(&gang).await;
-        self.conclude(&gang, spec, end).await;
+        self.record_end(&gang, spec, end).await;
     }
 
-    fn gang<'a>(&self, job: &'a JobId, source: Source, placement: &Placement) -> Option<Gang<'a>> {
+    /// Returns the gang of the next epoch; `None` for an empty placement.
+    fn next_gang<'a>(&self, job: &'a JobId, source: Source, placement: &Placement) -> Option<Gang<'a>> {
         let epoch = match source {
             Source::Logged { claim, last_epoch } => {
                 let attempt = lock(&self.epochs).next(job, claim);
@@ -165,18 +167,18 @@
         Some(Gang { job, epoch, members, commit_point, source })
     }
 
-    /// Returns where a worker's agent listens now; empty if it is not known.
+    /// Returns the address that the worker's agent last reported; empty if none is known.
     fn agent_address(&self, worker: &WorkerId) -> String {
         let fleet = lock(&self.fleet);
         fleet.rows().get(worker).map(|row| row.report.address.clone()).unwrap_or_default()
     }
 
-    /// Returns the life of a worker's agent that this entry knows.
-    fn agent_life(&self, worker: &WorkerId) -> u64 {
+    /// Returns the last reported incarnation of the worker's agent; 0 if none is known.
+    fn agent_incarnation(&self, worker: &WorkerId) -> u64 {
         lock(&self.fleet).rows().get(worker).map_or(0, |row| row.incarnation)
     }
 
-    /// Reserves the members in order of name, so that competing gangs cannot hold each other up in a circle.
+    /// Reserves the members in order of worker name, so that competing gangs cannot deadlock.
     async fn reserve_all(
         &self,
         gang: &Gang<'_>,
@@ -193,7 +195,7 @@
             let reserve = Reserve {
                 job: gang.job.clone(),
                 epoch: gang.epoch,
-                incarnation: self.agent_life(&member.worker),
+                incarnation: self.agent_incarnation(&member.worker),
                 account: spec.demand.account.clone(),
                 per_task: spec.demand.shape.per_task(),
                 tasks: placement[&member.worker],
@@ -216,9 +218,9 @@
     async fn reserve_one(&self, member: &Peer, reserve: Reserve) -> bool {
         let mut deadline = Instant::now();
         loop {
-            let asked = reserve.clone();
+            let request = reserve.clone();
             let call = self.agents.call(&member.address, |agent| async move {
-                agent.reserve(call_context(CALL_TIMEOUT), asked).await
+                agent.reserve(call_context(CALL_TIMEOUT), request).await
             });
             match call.await {
                 Ok(ReserveReply::Held) => return true,
@@ -228,26 +230,28 @@
                     }
                 }
                 Ok(reply) => {
-                    log::debug!(job = reserve.job.as_str(); "{} answers {reply:?}", member.worker);
-                    // Room that is being vacated may be free a moment later.
+                    log::debug!(job = reserve.job.as_str(); "{} replied {reply:?}", member.worker);
+                    // Preempted jobs may free the resources shortly: retry `Busy` until the deadline.
                     if !matches!(reply, ReserveReply::Busy { .. }) || deadline <= Instant::now() {
                         return false;
                     }
                 }
                 Err(e) => {
-                    log::debug!(job = reserve.job.as_str(); "{} is not reserved: {e}", member.worker);
+                    log::debug!(job = reserve.job.as_str(); "reserve call to {} failed: {e}", member.worker);
                     return false;
                 }
             }
-            tokio::time::sleep(YIELD_POLL).await;
+            tokio::time::sleep(RESERVE_RETRY_DELAY).await;
         }
     }
 
-    /// Records the attempt, so that whoever adopts the job knows where to ask.
+    /// Records the attempt, so that an entry that adopts the job can query its members.
+    ///
+    /// Returns false if the write failed or the record did not take effect in the fold.
     async fn record_placed(&self, gang: &Gang<'_>, placement: &Placement) -> bool {
         if gang.source == Source::Attached {
             return match lock(&self.attached).get_mut(gang.job) {
-                Some(attached) if attached.waits() => {
+                Some(attached) if attached.is_waiting() => {
                     attached.started = true;
                     true
                 }
@@ -261,7 +265,7 @@
             commit_point: gang.commit_point.worker.clone(),
         };
         if let Err(e) = self.write(vec![record]).await {
-            log::warn!(job = gang.job.as_str(); "attempt is not recorded: {e}");
+            log::warn!(job = gang.job.as_str(); "attempt was not recorded: {e}");
             return false;
         }
         let placed = self.with_fold(|fold| match fold.jobs.get(gang.job).map(|job| &job.stage) {
@@ -271,9 +275,9 @@
         placed == Some(true)
     }
 
-    /// Asks the commit point until the gang goes; false once it cannot go any more.
+    /// Sends commit calls until the gang is committed; returns false once it can no longer be.
     async fn commit(&self, gang: &Gang<'_>) -> bool {
-        let deadline = Instant::now() + self.settings.agent.lease * LEASES_TO_SETTLE;
+        let deadline = Instant::now() + self.settings.agent.lease * LEASES_UNTIL_STOPPED;
         while Instant::now() < deadline {
             let (job, epoch) = (gang.job.clone(), gang.epoch);
             let call = self.agents.call(&gang.commit_point.address, |agent| async move {
@@ -283,20 +287,20 @@
                 Ok(Some(GangState::Committed | GangState::Done)) => return true,
                 Ok(Some(GangState::Stopped) | None) => return false,
                 Ok(Some(GangState::Gathering)) => {}
-                Err(e) => log::debug!(job = gang.job.as_str(); "commit is not answered: {e}"),
+                Err(e) => log::debug!(job = gang.job.as_str(); "commit call failed: {e}"),
             }
-            tokio::time::sleep(BARRIER_POLL).await;
+            tokio::time::sleep(COMMIT_POLL_INTERVAL).await;
         }
-        // It may have gone meanwhile: the watch finds out.
+        // The gang may have been committed meanwhile: watching it shows its state.
         true
     }
 
-    /// Watches a gang to its end.
+    /// Polls a gang until it ends or is cancelled.
     async fn watch(&self, gang: &Gang<'_>) -> End {
-        let mut answered = Instant::now();
+        let mut replied = Instant::now();
         loop {
             if self.is_cancelled(gang) {
-                let end = self.settle(gang).await;
+                let end = self.fence_gang(gang).await;
                 return match end {
                     End::Stopped { done_ms, may_have_run, .. } => {
                         End::Stopped { done_ms, may_have_run, cancelled: true }
@@ -304,28 +308,29 @@
                     other => other,
                 };
             }
-            match self.ask_status(gang).await {
+            match self.query_status(gang).await {
                 Some(status) => {
-                    answered = Instant::now();
+                    replied = Instant::now();
                     match status.gang.filter(|(epoch, _)| *epoch == gang.epoch).map(|(_, state)| state) {
                         Some(GangState::Done) => return End::Done,
                         Some(GangState::Committed) => {}
                         Some(GangState::Gathering | GangState::Stopped) | None => {
-                            return self.settle(gang).await;
+                            return self.fence_gang(gang).await;
                         }
                     }
                 }
-                None if answered.elapsed() > self.silence_bound(gang) => return self.settle(gang).await,
+                None if replied.elapsed() > self.reply_timeout(gang) => return self.fence_gang(gang).await,
                 None => {}
             }
-            tokio::time::sleep(RUNNING_POLL).await;
+            tokio::time::sleep(STATUS_POLL_INTERVAL).await;
         }
     }
 
-    /// Returns the silence of the commit point after which the gang has stopped, or another member may tell.
-    fn silence_bound(&self, gang: &Gang<'_>) -> Duration {
+    /// Returns the time without a reply of the commit point after which the gang has stopped, or another member may
+    /// know how it ended.
+    fn reply_timeout(&self, gang: &Gang<'_>) -> Duration {
         if gang.members.len() > 1 {
-            return self.settings.agent.lease * LEASES_TO_SETTLE;
+            return self.settings.agent.lease * LEASES_UNTIL_STOPPED;
         }
         let claim_lease_ms = match gang.source {
             Source::Logged { .. } => LOGGED_CLAIM_LEASE_MS,
@@ -334,7 +339,7 @@
         Duration::from_millis(claim_lease_ms) + self.settings.agent.lease
     }
 
-    async fn ask_status(&self, gang: &Gang<'_>) -> Option<GangStatus> {
+    async fn query_status(&self, gang: &Gang<'_>) -> Option<GangStatus> {
         let address = self.agent_address(&gang.commit_point.worker);
         if address.is_empty() {
             return None;
@@ -356,21 +361,22 @@
         }
     }
 
-    /// Fences the gang at every member that answers, until no member can be running it any more.
-    async fn settle(&self, gang: &Gang<'_>) -> End {
+    /// Fences the gang at every member that replies, and waits until no member can still be running it.
+    async fn fence_gang(&self, gang: &Gang<'_>) -> End {
         let mut statuses = self.stop_all(gang).await;
         let commit_status = statuses.get(&gang.commit_point.worker).cloned();
         if statuses.len() < gang.members.len() {
-            // Silent members stop when their lease ends: a fenced member breaks the gang.
-            let bound = match statuses.is_empty() {
-                true => self.silence_bound(gang),
-                false => self.settings.agent.lease * LEASES_TO_SETTLE,
+            // Unreachable members stop when their lease ends: the gang cannot renew it with a fenced member.
+            let delay = match statuses.is_empty() {
+                true => self.reply_timeout(gang),
+                false => self.settings.agent.lease * LEASES_UNTIL_STOPPED,
             };
-            tokio::time::sleep(bound).await;
+            tokio::time::sleep(delay).await;
             statuses.extend(self.stop_all(gang).await);
         }
-        let own = commit_status.as_ref().filter(|status| status.gang.map(|(e, _)| e) == Some(gang.epoch));
-        if let Some(status) = own {
+        let own_status =
+            commit_status.as_ref().filter(|status| status.gang.map(|(e, _)| e) == Some(gang.epoch));
+        if let Some(status) = own_status {
             if status.gang.map(|(_, state)| state) == Some(GangState::Done) {
                 return End::Done;
             }
@@ -378,13 +384,14 @@
                 return End::Failed(reason.clone());
             }
         }
-        let may_have_run = own.is_none_or(|status| status.ever_committed);
-        let all = statuses.len() == gang.members.len();
-        let least = statuses.values().map(|status| status.done_ms).min();
-        let done_ms = least.filter(|_| all).unwrap_or_default();
+        let may_have_run = own_status.is_none_or(|status| status.ever_committed);
+        let all_replied = statuses.len() == gang.members.len();
+        let min_done_ms = statuses.values().map(|status| status.done_ms).min();
+        let done_ms = min_done_ms.filter(|_| all_replied).unwrap_or_default();
         End::Stopped { done_ms, may_have_run, cancelled: false }
     }
 
+    /// Asks every member to stop the gang; returns the status of those that replied.
     async fn stop_all(&self, gang: &Gang<'_>) -> BTreeMap<WorkerId, GangStatus> {
         let stops = gang.members.iter().map(|member| async move {
             let (job, epoch) = (gang.job.clone(), gang.epoch);
@@ -397,18 +404,18 @@
         futures::future::join_all(stops).await.into_iter().flatten().collect()
     }
 
-    /// Records how the attempt ended, again and again while the log is down.
-    async fn conclude(&self, gang: &Gang<'_>, spec: &JobSpec, end: End) {
-        self.judge_members(gang, &end);
+    /// Reports how the attempt ended: on the log, retrying while it is down, or to the caller of an attached job.
+    async fn record_end(&self, gang: &Gang<'_>, spec: &JobSpec, end: End) {
+        self.record_member_outcomes(gang, &end);
         let attempts = lock(&self.epochs).attempts(gang.job);
-        let outcome = outcome_of(&end, spec, attempts);
+        let outcome = final_outcome(&end, spec, attempts);
         match &outcome {
-            Some(outcome) => log::info!(job = gang.job.as_str(); "epoch {} ends: {outcome:?}", gang.epoch),
-            None => log::info!(job = gang.job.as_str(); "epoch {} stops and the job waits again", gang.epoch),
+            Some(outcome) => log::info!(job = gang.job.as_str(); "epoch {} ended: {outcome:?}", gang.epoch),
+            None => log::info!(job = gang.job.as_str(); "epoch {} stopped; the job waits again", gang.epoch),
         }
         self.metrics.job(if outcome.is_some() { "ended" } else { "requeued" });
         if gang.source == Source::Attached {
-            self.answer_attached(gang.job, outcome);
+            self.reply_to_attached(gang.job, outcome);
             return;
         }
         let (job, epoch) = (gang.job.clone(), gang.epoch);
@@ -420,69 +427,70 @@
         self.record_until_folded(gang, record).await;
     }
 
+    /// Writes `record` until the fold no longer holds this attempt as placed.
     async fn record_until_folded(&self, gang: &Gang<'_>, record: Record) {
         loop {
-            let open = self.with_fold(|fold| match fold.jobs.get(gang.job).map(|job| &job.stage) {
+            let still_placed = self.with_fold(|fold| match fold.jobs.get(gang.job).map(|job| &job.stage) {
                 Some(Stage::Placed(placed)) => placed.epoch == gang.epoch,
                 _ => false,
             });
-            if open != Some(true) {
+            if still_placed != Some(true) {
                 return;
             }
             if let Err(e) = self.write(vec![record.clone()]).await {
-                log::debug!(job = gang.job.as_str(); "outcome is not recorded yet: {e}");
-                tokio::time::sleep(RECORD_RETRY).await;
+                log::debug!(job = gang.job.as_str(); "outcome not recorded yet: {e}");
+                tokio::time::sleep(RECORD_RETRY_DELAY).await;
             }
         }
     }
 
-    fn judge_members(&self, gang: &Gang<'_>, end: &End) {
+    fn record_member_outcomes(&self, gang: &Gang<'_>, end: &End) {
         let mut fleet = lock(&self.fleet);
         match end {
-            End::Done => gang.members.iter().for_each(|member| fleet.judge(&member.worker, true)),
+            End::Done => gang.members.iter().for_each(|member| fleet.record_outcome(&member.worker, true)),
             End::Failed(reason) => {
-                // The reason names the worker; the others did not fail anything.
+                // The reason names the worker that failed; the others are not at fault.
                 let failed = gang.members.iter().filter(|m| reason.contains(m.worker.as_str()));
-                failed.for_each(|member| fleet.judge(&member.worker, false));
+                failed.for_each(|member| fleet.record_outcome(&member.worker, false));
             }
             End::Stopped { .. } => {}
         }
     }
 
-    fn answer_attached(&self, job: &JobId, outcome: Option<JobOutcome>) {
+    fn reply_to_attached(&self, job: &JobId, outcome: Option<JobOutcome>) {
         let mut table = lock(&self.attached);
         let Some(attached) = table.get_mut(job) else { return };
         match outcome {
             None => attached.started = false,
             Some(outcome) => {
-                if let Some(answer) = attached.answered.take() {
-                    // A caller that went away needs no answer.
-                    let _ = answer.send(outcome);
+                if let Some(outcome_tx) = attached.outcome_tx.take() {
+                    // Sending fails if the caller has disconnected; the outcome is then dropped.
+                    let _ = outcome_tx.send(outcome);
                 }
                 table.remove(job);
             }
         }
     }
 
-    /// Ends waiting jobs that were cancelled before they ran.
-    pub(super) async fn write_cancelled(&self, jobs: &[JobId]) {
+    /// Records the end of waiting jobs that were cancelled before they ran.
+    pub(super) async fn record_cancelled(&self, jobs: &[JobId]) {
         let ended = |job: &JobId| Record::Ended {
             job: job.clone(),
             epoch: Epoch::default(),
             outcome: JobOutcome::NotRun { reason: "cancelled".to_owned() },
         };
         match self.write(jobs.iter().map(ended).collect()).await {
-            Ok(()) => log::info!("{} cancelled jobs ended before they ran", jobs.len()),
-            Err(e) => log::debug!("cancelled jobs are not ended yet: {e}"),
+            Ok(()) => log::info!("recorded {} jobs as cancelled before they ran", jobs.len()),
+            Err(e) => log::debug!("cancelled jobs not recorded as ended yet: {e}"),
         }
     }
 }
 
-/// Returns the final outcome that an end means, or `None` when the job waits again.
-fn outcome_of(end: &End, spec: &JobSpec, attempts: u16) -> Option<JobOutcome> {
+/// Returns the final outcome of a job after an attempt, or `None` when the job waits again.
+fn final_outcome(end: &End, spec: &JobSpec, attempts: u16) -> Option<JobOutcome> {
     match end {
         End::Done => Some(JobOutcome::Done),
-        End::Failed(_) if spec.idempotent && attempts < ATTEMPTS => None,
+        End::Failed(_) if spec.idempotent && attempts < MAX_ATTEMPTS => None,
         End::Failed(reason) => Some(JobOutcome::Failed { reason: reason.clone() }),
         End::Stopped { may_have_run: false, cancelled: true, .. } => {
             Some(JobOutcome::NotRun { reason: "cancelled".to_owned() })
--- a/crates/daemon/src/entry/fleet.rs
+++ b/crates/daemon/src/entry/fleet.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the agents, from their heartbeats.
+//! State of the agents as their heartbeats report it.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,54 +13,54 @@
 use sorrelland_lease::Phase;
 use sorrelland_wire::entry::{Heartbeat, Report};
 
-/// Bytes that one heartbeat costs an entry on the wire, both ways, headers included.
-pub const BEAT_BYTES: u64 = 330;
+/// Size of one heartbeat and its reply on the wire, headers included.
+pub const HEARTBEAT_BYTES: u64 = 330;
 
-/// Bytes a second that an entry spends on heartbeats.
-pub const BEAT_BUDGET_BYTES: u64 = 16_000;
+/// Bandwidth that an entry spends on heartbeats.
+pub const HEARTBEAT_BUDGET_BYTES_PER_S: u64 = 16_000;
 
-/// Shortest time between two beats of one agent to one entry, in milliseconds.
-pub const BEAT_SHORTEST_MS: u64 = 500;
+/// Shortest interval between heartbeats of one agent to one entry.
+pub const MIN_HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// Beats that may be missed before a worker counts as lost.
-const MISSED_BEATS: u32 = 3;
+/// Heartbeats that may be missed before a worker counts as lost.
+const MAX_MISSED_HEARTBEATS: u32 = 3;
 
-/// Margin on top of the missed beats.
+/// Margin added to the missed heartbeats before a worker counts as lost.
 const LOST_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// An agent as the entry knows it.
+/// State of an agent.
 #[derive(Clone, Debug)]
-pub struct Row {
-    /// Life of the agent.
+pub struct AgentRow {
+    /// Incarnation of the agent.
     pub incarnation: u64,
-    /// Number of the report.
+    /// Number of the newest report.
     pub report_number: u64,
-    /// Its newest report.
+    /// Newest report.
     pub report: Report,
-    /// Short requests that it reported in flight.
-    pub reported: u32,
-    /// Short requests that this entry has in flight there.
+    /// Short requests in flight that the agent reported.
+    pub reported_in_flight: u32,
+    /// Short requests that this entry has in flight at the agent.
     pub in_flight: u32,
     /// Mean service time of short requests, in microseconds.
     pub service_us: u32,
-    /// Offset of the configuration that it has in force.
-    pub offset: u64,
-    /// When the newest beat came.
-    pub seen: Instant,
+    /// One past the version of the configuration that the agent has applied; 0 if it has none.
+    pub config_offset: u64,
+    /// Arrival of the newest heartbeat.
+    pub last_heartbeat: Instant,
 }
 
 /// The agents, by worker.
 #[derive(Debug)]
 pub struct Fleet {
-    rows: BTreeMap<WorkerId, Row>,
-    /// Outcomes by worker.
+    rows: BTreeMap<WorkerId, AgentRow>,
+    /// Outcomes of work by worker, for ejection.
     pub outcomes: Outcomes,
     domain: String,
     origin: Instant,
 }
 
 impl Fleet {
-    /// Creates the table of an entry in a failure domain.
+    /// Creates an empty table for an entry in the failure domain `domain`.
     pub fn new(domain: &str) -> Self {
         Self {
             rows: BTreeMap::new(),
@@ -70,93 +70,95 @@
         }
     }
 
-    /// Returns the agents.
-    pub fn rows(&self) -> &BTreeMap<WorkerId, Row> {
+    pub fn rows(&self) -> &BTreeMap<WorkerId, AgentRow> {
         &self.rows
     }
 
-    /// Returns the time between two beats of one agent, so that all of them fit the budget.
-    pub fn beat_ms(&self) -> u64 {
+    /// Returns the heartbeat interval of each agent at which all agents together stay within the bandwidth budget.
+    pub fn heartbeat_interval_ms(&self) -> u64 {
         let agents = self.rows.len() as u64;
-        (agents * BEAT_BYTES * 1_000 / BEAT_BUDGET_BYTES).max(BEAT_SHORTEST_MS)
+        (agents * HEARTBEAT_BYTES * 1_000 / HEARTBEAT_BUDGET_BYTES_PER_S).max(MIN_HEARTBEAT_INTERVAL_MS)
     }
 
-    /// Takes a heartbeat; returns the number of the report that the table has now.
-    pub fn take(&mut self, beat: Heartbeat) -> u64 {
+    /// Records a heartbeat; returns the number of the newest report in the table.
+    ///
+    /// Returns 0 if it has no report from this incarnation: the agent then sends one.
+    pub fn record_heartbeat(&mut self, heartbeat: Heartbeat) -> u64 {
         let now = Instant::now();
-        let known = self.rows.get_mut(&beat.worker);
-        let same_life = known.as_ref().is_some_and(|row| row.incarnation == beat.incarnation);
-        let row = match (known, beat.report) {
-            (Some(row), None) if row.incarnation == beat.incarnation => row,
+        let known = self.rows.get_mut(&heartbeat.worker);
+        let same_incarnation = known.as_ref().is_some_and(|row| row.incarnation == heartbeat.incarnation);
+        let row = match (known, heartbeat.report) {
+            (Some(row), None) if row.incarnation == heartbeat.incarnation => row,
             (Some(row), Some(report)) => {
-                if row.incarnation == beat.incarnation && beat.report_number < row.report_number {
-                    // An older beat that was overtaken on the way.
+                if row.incarnation == heartbeat.incarnation && heartbeat.report_number < row.report_number {
+                    // A newer heartbeat arrived before this one.
                     return row.report_number;
                 }
-                row.incarnation = beat.incarnation;
-                row.report_number = beat.report_number;
+                row.incarnation = heartbeat.incarnation;
+                row.report_number = heartbeat.report_number;
                 row.report = report;
                 row
             }
-            (None, Some(report)) => self.rows.entry(beat.worker).or_insert(Row {
-                incarnation: beat.incarnation,
-                report_number: beat.report_number,
+            (None, Some(report)) => self.rows.entry(heartbeat.worker).or_insert(AgentRow {
+                incarnation: heartbeat.incarnation,
+                report_number: heartbeat.report_number,
                 report,
-                reported: 0,
+                reported_in_flight: 0,
                 in_flight: 0,
                 service_us: 0,
-                offset: 0,
-                seen: now,
+                config_offset: 0,
+                last_heartbeat: now,
             }),
             (_, None) => return 0,
         };
-        row.reported = beat.in_flight;
-        row.service_us = beat.service_us;
-        row.offset = if same_life { row.offset.max(beat.offset) } else { beat.offset };
-        row.seen = now;
+        row.reported_in_flight = heartbeat.in_flight;
+        row.service_us = heartbeat.service_us;
+        row.config_offset =
+            if same_incarnation { row.config_offset.max(heartbeat.offset) } else { heartbeat.offset };
+        row.last_heartbeat = now;
         row.report_number
     }
 
-    /// Records the configuration that a worker's agent confirmed.
-    pub fn configured(&mut self, worker: &WorkerId, offset: u64) {
+    /// Records the configuration that a worker's agent acknowledged.
+    pub fn record_configured(&mut self, worker: &WorkerId, offset: u64) {
         if let Some(row) = self.rows.get_mut(worker) {
-            row.offset = row.offset.max(offset);
+            row.config_offset = row.config_offset.max(offset);
         }
     }
 
-    /// Counts a request that this entry sends to a worker.
-    pub fn enter(&mut self, worker: &WorkerId) {
+    /// Counts a short request that this entry sends to a worker.
+    pub fn begin_request(&mut self, worker: &WorkerId) {
         if let Some(row) = self.rows.get_mut(worker) {
             row.in_flight += 1;
         }
     }
 
-    /// Counts the end of a request that this entry sent to a worker.
-    pub fn exit(&mut self, worker: &WorkerId) {
+    /// Counts the end of a short request that this entry sent to a worker.
+    pub fn end_request(&mut self, worker: &WorkerId) {
         if let Some(row) = self.rows.get_mut(worker) {
             row.in_flight = row.in_flight.saturating_sub(1);
         }
     }
 
-    /// Returns milliseconds since the table was created.
+    /// Returns the time since the table was created.
     pub fn now_ms(&self) -> Millis {
         self.origin.elapsed().as_millis() as Millis
     }
 
-    /// Records the outcome of work on a worker.
-    pub fn judge(&mut self, worker: &WorkerId, worked: bool) {
+    /// Records whether work on a worker succeeded; ejects a worker that fails too often.
+    pub fn record_outcome(&mut self, worker: &WorkerId, succeeded: bool) {
         let now_ms = self.now_ms();
-        if worked {
+        if succeeded {
             self.outcomes.record_success(worker);
         } else if self.outcomes.record_failure(worker, self.rows.len(), now_ms) {
-            log::warn!("worker {worker} is ejected: it fails what it starts");
+            log::warn!("worker {worker} ejected: too many failures");
         }
     }
 
-    /// Returns whether a worker takes new work.
-    pub fn standing(&self, worker: &WorkerId, row: &Row) -> Standing {
-        let interval = Duration::from_millis(self.beat_ms());
-        if row.seen.elapsed() > interval * MISSED_BEATS + LOST_MARGIN {
+    /// Returns whether a worker is available for new work.
+    pub fn standing(&self, worker: &WorkerId, row: &AgentRow) -> Standing {
+        let interval = Duration::from_millis(self.heartbeat_interval_ms());
+        if row.last_heartbeat.elapsed() > interval * MAX_MISSED_HEARTBEATS + LOST_MARGIN {
             Standing::Lost
         } else if row.report.draining {
             Standing::Draining
@@ -167,9 +169,9 @@
         }
     }
 
-    /// Returns the workers as the decision core sees them.
+    /// Returns the workers for the scheduler's tables.
     pub fn workers(&self) -> BTreeMap<WorkerId, Worker> {
-        let worker = |(id, row): (&WorkerId, &Row)| {
+        let worker = |(id, row): (&WorkerId, &AgentRow)| {
             let mut worker = Worker::new(row.report.place.clone(), row.report.capacity);
             worker.standing = self.standing(id, row);
             (id.clone(), worker)
@@ -177,7 +179,7 @@
         self.rows.iter().map(worker).collect()
     }
 
-    /// Returns the gangs that the agents reported.
+    /// Returns the gangs that agents report as unfinished, without those of lost workers.
     pub fn running(&self, now_ms: Millis) -> BTreeMap<JobId, Running> {
         let mut gangs: BTreeMap<JobId, Running> = BTreeMap::new();
         for (worker, row) in &self.rows {
@@ -208,15 +210,17 @@
         gangs
     }
 
-    /// Returns the agents that may get a short request, with what is known for routing.
+    /// Returns the agents that can take a short request, with their routing data.
+    ///
+    /// Agents without a configuration are left out.
     pub fn candidates(&self, except: &[WorkerId]) -> Vec<(WorkerId, Candidate)> {
         let ready = self.rows.iter().filter(|(id, row)| {
-            !except.contains(id) && self.standing(id, row) == Standing::Ready && row.offset > 0
+            !except.contains(id) && self.standing(id, row) == Standing::Ready && row.config_offset > 0
         });
-        let candidate = |(id, row): (&WorkerId, &Row)| {
+        let candidate = |(id, row): (&WorkerId, &AgentRow)| {
             let candidate = Candidate {
                 in_flight: row.in_flight,
-                reported_in_flight: row.reported,
+                reported_in_flight: row.reported_in_flight,
                 slots: row.report.capacity.slots,
                 service_ms: f64::from(row.service_us) / 1_000.0,
                 same_domain: *row.report.place.domain == self.domain,
@@ -226,8 +230,8 @@
         ready.map(candidate).collect()
     }
 
-    /// Forgets workers that have been silent for longer than `silence`.
-    pub fn forget(&mut self, silence: Duration) {
-        self.rows.retain(|_, row| row.seen.elapsed() < silence);
+    /// Removes workers that have sent no heartbeat for `max_age`.
+    pub fn remove_unresponsive(&mut self, max_age: Duration) {
+        self.rows.retain(|_, row| row.last_heartbeat.elapsed() < max_age);
     }
 }
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -227,6 +227,6 @@
 }
 
 /// Returns milliseconds since 1970 by the wall clock; only ages and logs depend on it.
-fn wall_ms() -> Millis {
+fn unix_ms() -> Millis {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as Millis)
 }
--- a/crates/daemon/src/entry/operator.rs
+++ b/crates/daemon/src/entry/operator.rs
@@ -158,10 +158,10 @@
         standing: fleet.standing(id, row),
         place: row.report.place.clone(),
         capacity: row.report.capacity,
-        in_flight: row.reported,
-        version: row.offset.saturating_sub(1),
+        in_flight: row.reported_in_flight,
+        version: row.config_offset.saturating_sub(1),
         jobs: row.report.shares.iter().map(|share| share.job.to_string()).collect(),
-        seen_ms_ago: row.seen.elapsed().as_millis() as u64,
+        seen_ms_ago: row.last_heartbeat.elapsed().as_millis() as u64,
     });
     Ok(HttpResponseOk(answer.collect()))
 }
@@ -321,7 +321,7 @@
         for (worker, row) in fleet.rows() {
             processes += 1;
             // Agents tell one past the version.
-            if row.offset <= version {
+            if row.config_offset <= version {
                 missing.push(worker.to_string());
             }
         }
--- a/crates/daemon/src/entry/query.rs
+++ b/crates/daemon/src/entry/query.rs
@@ -20,7 +20,7 @@
 use crate::entry::api::{Cx, Open, Result};
 use crate::entry::operator::CommandAnswer;
 use crate::entry::rows;
-use crate::entry::{Entry, wall_ms};
+use crate::entry::{Entry, unix_ms};
 use crate::sync::lock;
 
 /// A statement.
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn table_rows(&self, table: Table) -> (&'static [&'static str], Vec<Row>) {
-        let now_ms = wall_ms();
+        let now_ms = unix_ms();
         let jobs = |state: &'static str| {
             let all = self.with_fold(|fold| rows::jobs(fold, now_ms)).unwrap_or_default();
             all.into_iter().filter(|row| row["state"] == state).collect::<Vec<_>>()
@@ -109,7 +109,7 @@
 
     /// Adds the gangs that agents report but the log does not know: attached jobs.
     fn running_rows(&self, mut logged: Vec<Row>) -> Vec<Row> {
-        let now_ms = wall_ms();
+        let now_ms = unix_ms();
         let running = lock(&self.fleet).running(now_ms);
         for (job, gang) in running {
             if !logged.iter().any(|row| row["job"] == job.as_str()) {
@@ -143,10 +143,10 @@
         if job.cancelled {
             reasons.push("it is being cancelled".to_owned());
         }
-        if !self.is_mine(job) {
+        if !self.is_own(job) {
             reasons.push(format!("entry {} is in charge of it", job.claimant.as_deref().unwrap_or("none")));
         }
-        let tables = self.tables(wall_ms());
+        let tables = self.tables(unix_ms());
         let shape = job.spec.demand.shape;
         let view = sorrelland_core::view::View::with_free_capacity(&tables);
         let free: u32 = view.worker_rows.iter().map(|row| row.free.accelerators).sum();
@@ -160,7 +160,7 @@
         let scheduler = lock(&self.scheduler);
         if let Some(held) = scheduler.reservations.get(name) {
             let workers: Vec<&str> = held.workers.iter().map(WorkerId::as_str).collect();
-            let in_ms = held.start_ms.saturating_sub(wall_ms());
+            let in_ms = held.start_ms.saturating_sub(unix_ms());
             reasons.push(format!("{} are kept for it, estimated free in {in_ms} ms", workers.join(", ")));
         }
         reasons
@@ -225,7 +225,7 @@
 
     /// Returns the gangs that hold what a changed guarantee would back.
     fn reclaimed_by(&self, account: &AccountId, config: &Account) -> Vec<Row> {
-        let mut tables = self.tables(wall_ms());
+        let mut tables = self.tables(unix_ms());
         tables.accounts.insert(account.clone(), config.clone());
         tables.plan = sorrelland_core::plan::propose(&tables.accounts, &tables.workers, &tables.plan);
         let rows = rows::guarantees(&tables);
--- a/crates/daemon/src/entry/rows.rs
+++ b/crates/daemon/src/entry/rows.rs
@@ -135,7 +135,7 @@
 
 /// Returns the workers that an entry knows.
 pub fn workers(fleet: &Fleet) -> Vec<Row> {
-    let worker = |(id, known): (&WorkerId, &crate::entry::fleet::Row)| {
+    let worker = |(id, known): (&WorkerId, &crate::entry::fleet::AgentRow)| {
         let report = &known.report;
         let mut held = Amount::default();
         for share in &report.shares {
@@ -150,10 +150,10 @@
             ("slots", json!(report.capacity.slots)),
             ("accelerators", json!(report.capacity.accelerators)),
             ("held", json!(held.accelerators)),
-            ("in_flight", json!(known.reported)),
-            ("version", json!(known.offset.saturating_sub(1))),
+            ("in_flight", json!(known.reported_in_flight)),
+            ("version", json!(known.config_offset.saturating_sub(1))),
             ("jobs", json!(names(report.shares.iter().map(|share| &share.job)))),
-            ("seen_ms", json!(known.seen.elapsed().as_millis() as u64)),
+            ("seen_ms", json!(known.last_heartbeat.elapsed().as_millis() as u64)),
         ])
     };
     fleet.rows().iter().map(worker).collect()
--- a/crates/daemon/src/entry/schedule.rs
+++ b/crates/daemon/src/entry/schedule.rs
@@ -1,4 +1,4 @@
-//! The scheduling pass over the jobs that this entry is in charge of.
+//! Scheduling passes over the jobs that this entry has claimed, and the tasks that drive them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,25 +11,25 @@
 
 use crate::entry::attempt::Source;
 use crate::entry::burn::{Event, Objective};
-use crate::entry::{Entry, wall_ms};
+use crate::entry::{Entry, unix_ms};
 use crate::sync::lock;
 
-/// Pause before a job that found no room at the agents is tried again, in milliseconds.
-const BACKOFF_MS: Millis = 250;
+/// Delay before a job is tried again after an attempt, such as one that found too few free resources at the agents.
+const RETRY_DELAY_MS: Millis = 250;
 
-/// Time within which urgent jobs have to start, in milliseconds.
-const URGENT_START_MS: Millis = 2_300;
+/// Start objective of urgent jobs.
+const URGENT_START_LIMIT_MS: Millis = 2_300;
 
-/// Time within which other jobs have to start, in milliseconds.
-const START_MS: Millis = 2 * 60 * 60 * 1_000;
+/// Start objective of other jobs.
+const START_LIMIT_MS: Millis = 2 * 60 * 60 * 1_000;
 
-/// A job that a task of this process looks after.
+/// State of a job that a task of this process drives, or drove until recently.
 #[derive(Clone, Debug)]
 pub struct Driver {
-    /// What it holds or is about to hold.
+    /// What the attempt holds or is reserving; `None` for an adopted job and after the end.
     pub running: Option<Running>,
-    /// Time before which the job is not tried again.
-    pub rest_until_ms: Option<Millis>,
+    /// Earliest time of the next attempt; `None` while the task runs.
+    pub retry_at_ms: Option<Millis>,
 }
 
 /// A job that this entry may try to start.
@@ -44,15 +44,15 @@
     pub(super) async fn schedule_loop(self: Arc<Self>) {
         loop {
             let _ = tokio::time::timeout(self.settings.entry.tick, self.wake.notified()).await;
-            self.pass();
-            // One pass for all that woke it meanwhile.
+            self.run_pass();
+            // Batches the wake-ups of the next few milliseconds into one pass.
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
     }
 
-    fn pass(self: &Arc<Self>) {
-        let now_ms = wall_ms();
-        lock(&self.drivers).retain(|_, driver| driver.rest_until_ms.is_none_or(|until| now_ms < until));
+    fn run_pass(self: &Arc<Self>) {
+        let now_ms = unix_ms();
+        lock(&self.drivers).retain(|_, driver| driver.retry_at_ms.is_none_or(|retry_at| now_ms < retry_at));
         self.drive_placed(now_ms);
         let candidates = self.candidates();
         if candidates.is_empty() {
@@ -65,16 +65,22 @@
             tables.waiting.insert(job.clone(), waiting);
         }
         let started = std::time::Instant::now();
-        let starts = self.decide(&tables, now_ms);
-        log::trace!("pass over {} jobs took {} us", tables.waiting.len(), started.elapsed().as_micros());
+        let starts = self.decide_starts(&tables, now_ms);
+        log::trace!(
+            "scheduling pass over {} jobs took {} us",
+            tables.waiting.len(),
+            started.elapsed().as_micros()
+        );
         for (job, placement, cause) in starts {
             let Some(candidate) = candidates.get(&job) else { continue };
             self.start_attempt(&job, candidate, placement, cause, now_ms);
         }
     }
 
-    /// Runs the core's systems; a claim on room that others vacate is tried at the agents at once.
-    fn decide(&self, tables: &Tables, now_ms: Millis) -> Vec<(JobId, Placement, Option<Cause>)> {
+    /// Runs one scheduler tick and returns the jobs to start.
+    ///
+    /// A job that claims resources of preempted jobs is started at once: its reservation makes them yield.
+    fn decide_starts(&self, tables: &Tables, now_ms: Millis) -> Vec<(JobId, Placement, Option<Cause>)> {
         let mut scheduler = lock(&self.scheduler);
         let actions = scheduler.tick(tables, now_ms);
         let mut causes: BTreeMap<JobId, Cause> = BTreeMap::new();
@@ -94,64 +100,66 @@
         starts
     }
 
-    /// Looks after jobs that hold workers but have no driver here: adopted or restarted ones.
+    /// Drives placed jobs that have no driver yet: adopted ones, and those placed before a restart.
     fn drive_placed(self: &Arc<Self>, now_ms: Millis) {
         let driven = self.driven();
         let placed = self.with_fold(|fold| {
-            let mine = fold.jobs.iter().filter(|(name, job)| self.is_mine(job) && !driven.contains(*name));
-            let placed = mine.filter_map(|(name, job)| match &job.stage {
+            let own = fold.jobs.iter().filter(|(name, job)| self.is_own(job) && !driven.contains(*name));
+            let placed = own.filter_map(|(name, job)| match &job.stage {
                 Stage::Placed(placed) => Some((name.clone(), job.spec.clone(), placed.clone())),
                 _ => None,
             });
             placed.collect::<Vec<(JobId, JobSpec, RecordedAttempt)>>()
         });
         for (job, spec, placed) in placed.unwrap_or_default() {
-            let driver = Driver { running: None, rest_until_ms: None };
+            let driver = Driver { running: None, retry_at_ms: None };
             lock(&self.drivers).insert(job.clone(), driver);
             let entry = self.clone();
             tokio::spawn(async move {
                 entry.watch_adopted(&job, &spec, &placed).await;
-                entry.rest(&job, now_ms);
+                entry.finish_driver(&job, now_ms);
             });
         }
         self.end_cancelled(&driven, now_ms);
     }
 
-    /// Ends waiting jobs that were cancelled, all of them in one write.
+    /// Records the end of all cancelled waiting jobs in one write.
     fn end_cancelled(self: &Arc<Self>, driven: &std::collections::BTreeSet<JobId>, now_ms: Millis) {
         let cancelled = self.with_fold(|fold| {
-            let mine = fold.jobs.iter().filter(|(name, job)| {
-                job.cancelled && job.stage == Stage::Waiting && self.is_mine(job) && !driven.contains(*name)
+            let own = fold.jobs.iter().filter(|(name, job)| {
+                job.cancelled && job.stage == Stage::Waiting && self.is_own(job) && !driven.contains(*name)
             });
-            mine.map(|(name, _)| name.clone()).collect::<Vec<_>>()
+            own.map(|(name, _)| name.clone()).collect::<Vec<_>>()
         });
         let cancelled = cancelled.unwrap_or_default();
         if cancelled.is_empty() {
             return;
         }
         for job in &cancelled {
-            lock(&self.drivers).insert(job.clone(), Driver { running: None, rest_until_ms: None });
+            lock(&self.drivers).insert(job.clone(), Driver { running: None, retry_at_ms: None });
         }
         let entry = self.clone();
         tokio::spawn(async move {
-            entry.write_cancelled(&cancelled).await;
-            cancelled.iter().for_each(|job| entry.rest(job, now_ms));
+            entry.record_cancelled(&cancelled).await;
+            cancelled.iter().for_each(|job| entry.finish_driver(job, now_ms));
         });
     }
 
-    pub(super) fn is_mine(&self, job: &sorrelland_ledger::Job) -> bool {
+    /// Returns whether this incarnation of the entry has claimed the job.
+    pub(super) fn is_own(&self, job: &sorrelland_ledger::Job) -> bool {
         job.claimant.as_deref() == Some(&self.claimant)
     }
 
+    /// Returns the waiting jobs that no task drives; on a stopping entry only attached ones.
     fn candidates(&self) -> BTreeMap<JobId, Candidate> {
         let driven = self.driven();
         let mut candidates = BTreeMap::new();
         if !self.stop.is_raised() {
-            let mine = self.with_fold(|fold| self.waiting_jobs(fold));
-            candidates.extend(mine.unwrap_or_default());
+            let waiting = self.with_fold(|fold| self.waiting_jobs(fold));
+            candidates.extend(waiting.unwrap_or_default());
         }
         for (job, attached) in &*lock(&self.attached) {
-            if attached.waits() {
+            if attached.is_waiting() {
                 let candidate = Candidate {
                     spec: attached.spec.clone(),
                     since_ms: attached.since_ms,
@@ -166,20 +174,20 @@
     }
 
     fn waiting_jobs(&self, fold: &Fold) -> Vec<(JobId, Candidate)> {
-        let waits = fold
+        let waiting = fold
             .jobs
             .iter()
-            .filter(|(_, job)| job.stage == Stage::Waiting && !job.cancelled && self.is_mine(job));
+            .filter(|(_, job)| job.stage == Stage::Waiting && !job.cancelled && self.is_own(job));
         let candidate = |(name, job): (&JobId, &sorrelland_ledger::Job)| {
             let source = Source::Logged { claim: job.claim, last_epoch: job.last_epoch };
             let candidate =
                 Candidate { spec: job.spec.clone(), since_ms: job.accepted_ms, done_ms: job.done_ms, source };
             (name.clone(), candidate)
         };
-        waits.map(candidate).collect()
+        waiting.map(candidate).collect()
     }
 
-    /// Returns the tables without waiting jobs: workers, accounts, plan, and what runs or is being started.
+    /// Returns the scheduler's tables without waiting jobs: workers, accounts, plan, and running or starting jobs.
     pub(super) fn tables(&self, now_ms: Millis) -> Tables {
         let mut tables = Tables::new();
         {
@@ -214,34 +222,34 @@
             started_ms: now_ms,
             done_ms: candidate.done_ms,
         };
-        let driver = Driver { running: Some(running), rest_until_ms: None };
+        let driver = Driver { running: Some(running), retry_at_ms: None };
         lock(&self.drivers).insert(job.clone(), driver);
         let entry = self.clone();
-        self.judge_start(candidate, now_ms);
+        self.record_start(candidate, now_ms);
         let (job, spec) = (job.clone(), candidate.spec.clone());
         let (source, done_ms) = (candidate.source, candidate.done_ms);
         tokio::spawn(async move {
             entry.attempt(&job, &spec, source, &placement, cause, done_ms).await;
-            entry.rest(&job, wall_ms());
+            entry.finish_driver(&job, unix_ms());
         });
     }
 
-    /// Counts a first start against the account's objective.
-    fn judge_start(&self, candidate: &Candidate, now_ms: Millis) {
+    /// Counts the start of an attempt for the account's start objective, by the time since submission.
+    fn record_start(&self, candidate: &Candidate, now_ms: Millis) {
         let demand = &candidate.spec.demand;
-        let bound_ms = match demand.class {
-            Class::Urgent => URGENT_START_MS,
-            _ => START_MS,
+        let limit_ms = match demand.class {
+            Class::Urgent => URGENT_START_LIMIT_MS,
+            _ => START_LIMIT_MS,
         };
-        let late = now_ms.saturating_sub(candidate.since_ms) > bound_ms;
+        let late = now_ms.saturating_sub(candidate.since_ms) > limit_ms;
         let event = if late { Event::Late } else { Event::Good };
         lock(&self.burn).record(&demand.account, Objective::Starts, event, now_ms);
     }
 
-    /// Ends a driver; the job may be tried again after a pause.
-    fn rest(&self, job: &JobId, now_ms: Millis) {
-        let until_ms = now_ms.max(wall_ms()) + BACKOFF_MS;
-        let driver = Driver { running: None, rest_until_ms: Some(until_ms) };
+    /// Marks a job's task as ended; the job may be attempted again after a delay.
+    fn finish_driver(&self, job: &JobId, now_ms: Millis) {
+        let retry_at_ms = now_ms.max(unix_ms()) + RETRY_DELAY_MS;
+        let driver = Driver { running: None, retry_at_ms: Some(retry_at_ms) };
         lock(&self.drivers).insert(job.clone(), driver);
         self.wake.notify_one();
     }
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -53,7 +53,7 @@
         let (worker, offset) = (beat.worker.clone(), beat.offset);
         let (report_number, next_ms) = {
             let mut fleet = lock(&self.fleet);
-            (fleet.take(beat), fleet.beat_ms())
+            (fleet.record_heartbeat(beat), fleet.heartbeat_interval_ms())
         };
         if asks {
             self.wake.notify_one();
@@ -91,7 +91,7 @@
         loop {
             let changed = tokio::time::timeout(Duration::from_secs(60), advanced.changed()).await;
             if changed.is_err() {
-                lock(&self.fleet).forget(FORGET_AFTER);
+                lock(&self.fleet).remove_unresponsive(FORGET_AFTER);
                 continue;
             }
             let version = self.with_fold(|fold| fold.agent_version()).unwrap_or_default();
@@ -116,7 +116,7 @@
             agent.configure(call_context(CONFIGURE_TIMEOUT), config).await
         });
         match call.await {
-            Ok(offset) => lock(&self.fleet).configured(worker, offset),
+            Ok(offset) => lock(&self.fleet).record_configured(worker, offset),
             Err(e) => log::debug!("agent at {address} gets the configuration with its next beat: {e}"),
         }
     }
--- a/crates/daemon/src/entry/short.rs
+++ b/crates/daemon/src/entry/short.rs
@@ -200,18 +200,18 @@
             remaining_ms: left_ms,
         };
         let timeout = Duration::from_millis(left_ms);
-        lock(&self.fleet).enter(worker);
+        lock(&self.fleet).begin_request(worker);
         let result = self
             .agents
             .call(address, |agent| async move { agent.execute(call_context(timeout), exec).await })
             .await;
         let mut fleet = lock(&self.fleet);
-        fleet.exit(worker);
+        fleet.end_request(worker);
         let attempt = self.read_reply(call, result);
         match &attempt {
-            Attempt::Told(Outcome::Done { status, .. }) => fleet.judge(worker, *status < 500),
+            Attempt::Told(Outcome::Done { status, .. }) => fleet.record_outcome(worker, *status < 500),
             Attempt::Told(Outcome::NotRun { .. }) => {}
-            _ => fleet.judge(worker, false),
+            _ => fleet.record_outcome(worker, false),
         }
         attempt
     }
