--- a/crates/daemon/src/entry/follow.rs
+++ b/crates/daemon/src/entry/follow.rs
@@ -1,4 +1,4 @@
-//! Following the log: the fold, snapshots, and peers' folds while the log is down.
+//! Reading the log: keeps the fold up to date, writes snapshots, and fetches the fold of a peer while the log is down.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,40 +10,40 @@
 use crate::log_client::Page;
 use crate::sync::lock;
 
-/// Time between two tries to read the log.
-const RETRY: Duration = Duration::from_millis(200);
+/// Delay before the log is read again after a failure.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Time for a peer's fold.
-const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time-out of the call for a peer's fold.
+const FOLD_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Entry {
-    /// Folds the log as it grows.
+    /// Applies new records of the log to the fold.
     pub(super) async fn follow_loop(self: Arc<Self>) {
         let mut snapshot_due = Instant::now();
         loop {
             let from = lock(&self.ledger).fold.next_offset;
             match self.log.read(from).await {
                 Ok(page) => {
-                    self.take(from, page).await;
+                    self.apply_page(from, page).await;
                     if Instant::now() >= snapshot_due {
                         snapshot_due = Instant::now() + Duration::from_secs(1);
                         self.snapshot_if_due();
                     }
                 }
                 Err(e) => {
-                    log::debug!("log is not read: {e}");
-                    if !lock(&self.ledger).known {
-                        self.ask_peers_for_fold().await;
+                    log::debug!("reading the log failed: {e}");
+                    if !lock(&self.ledger).loaded {
+                        self.fetch_fold_from_peers().await;
                     }
-                    tokio::time::sleep(RETRY).await;
+                    tokio::time::sleep(READ_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn take(&self, from: u64, page: Page) {
+    async fn apply_page(&self, from: u64, page: Page) {
         if page.first > from {
-            self.catch_up(page).await;
+            self.restore_from_snapshot(page).await;
             return;
         }
         let complete = {
@@ -51,18 +51,18 @@
             fold_page(&mut ledger.fold, &page);
             let complete = ledger.fold.next_offset >= page.next;
             if complete {
-                ledger.known = true;
-                ledger.confirmed = Some(Instant::now());
+                ledger.loaded = true;
+                ledger.confirmed_at = Some(Instant::now());
             }
             complete
         };
         if complete || !page.entries.is_empty() {
-            self.announce_advance();
+            self.publish_offset();
         }
     }
 
-    /// Starts from the newest snapshot when older records are gone.
-    async fn catch_up(&self, first_page: Page) {
+    /// Restores the fold from the newest snapshot when the log no longer holds the next record.
+    async fn restore_from_snapshot(&self, first_page: Page) {
         let mut pages = vec![first_page];
         while let Some(page) = pages.last()
             && let Some(last) = page.entries.last()
@@ -80,67 +80,71 @@
             }
         });
         let Some(snapshot) = newest else {
-            log::error!("records before {oldest} are gone and no snapshot covers them");
+            log::error!("the log no longer holds records before {oldest}, and no snapshot covers them");
             return;
         };
         ledger.fold.replace_if_newer(&snapshot);
         for page in &pages {
             fold_page(&mut ledger.fold, page);
         }
-        ledger.known = true;
-        ledger.confirmed = Some(Instant::now());
+        ledger.loaded = true;
+        ledger.confirmed_at = Some(Instant::now());
         log::info!("configuration restored from a snapshot, now at offset {}", ledger.fold.next_offset);
         drop(ledger);
-        self.announce_advance();
+        self.publish_offset();
     }
 
-    fn announce_advance(&self) {
+    /// Publishes the fold's next offset to waiting writes and wakes the scheduling loop.
+    fn publish_offset(&self) {
         let next = lock(&self.ledger).fold.next_offset;
         self.advanced.send_replace(next);
         self.wake.notify_one();
     }
 
+    /// Writes a snapshot if enough records follow the last one and this entry is the first of the responsive ones.
     fn snapshot_if_due(self: &Arc<Self>) {
         let due = self.with_fold(|fold| {
-            let since = fold.next_offset.saturating_sub(fold.snapshot_offset);
-            (since >= self.settings.log.snapshot_records).then(|| fold.clone())
+            let records = fold.next_offset.saturating_sub(fold.snapshot_offset);
+            (records >= self.settings.log.snapshot_records).then(|| fold.clone())
         });
         if let Some(Some(fold)) = due
             && lock(&self.peers).is_first(&self.claimant)
         {
             let entry = self.clone();
             tokio::spawn(async move {
-                let at = fold.next_offset;
+                let offset = fold.next_offset;
                 match entry.write(vec![Record::Snapshot { fold: Box::new(fold) }]).await {
-                    Ok(()) => log::info!("snapshot up to offset {at} is on the log"),
-                    Err(e) => log::warn!("snapshot up to offset {at} is not on the log: {e}"),
+                    Ok(()) => log::info!("wrote snapshot up to offset {offset}"),
+                    Err(e) => log::warn!("snapshot up to offset {offset} was not written: {e}"),
                 }
             });
         }
     }
 
-    /// Takes over a peer's fold; it is not confirmed by the log.
-    async fn ask_peers_for_fold(&self) {
+    /// Starts from the fold of the first peer that has one; it counts as unconfirmed until the log can be read.
+    async fn fetch_fold_from_peers(&self) {
         let addresses = lock(&self.peers).addresses();
         for address in addresses {
             let call = self
                 .entries
-                .call(&address, |peer| async move { peer.fold(call_context(PEER_TIMEOUT)).await });
+                .call(&address, |peer| async move { peer.fold(call_context(FOLD_TIMEOUT)).await });
             let Ok(Some(bytes)) = call.await else { continue };
             let Ok(fold) = serde_json::from_slice::<Fold>(&bytes) else { continue };
             let mut ledger = lock(&self.ledger);
             if ledger.fold.replace_if_newer(&fold) || fold.next_offset > 0 {
-                ledger.known = true;
-                log::info!("configuration up to offset {} taken over from {address}", fold.next_offset);
+                ledger.loaded = true;
+                log::info!("configuration up to offset {} fetched from {address}", fold.next_offset);
                 drop(ledger);
-                self.announce_advance();
+                self.publish_offset();
                 return;
             }
         }
     }
 }
 
-/// Folds the records of a page; one that cannot be read is skipped by every reader alike.
+/// Applies the records of a page to the fold.
+///
+/// A record that cannot be parsed is skipped; every reader does so, hence all folds stay equal.
 fn fold_page(fold: &mut Fold, page: &Page) {
     for row in &page.entries {
         match serde_json::from_value::<Record>(row.record.clone()) {
@@ -151,7 +155,7 @@
                 }
             }
             Err(e) => {
-                log::warn!("record {} is not ours: {e}", row.offset);
+                log::warn!("skipping record {}, which cannot be parsed: {e}", row.offset);
                 fold.skip_record(row.offset);
             }
         }
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -53,10 +53,10 @@
 /// What an entry knows of the log.
 struct Ledger {
     fold: Fold,
-    /// Whether any fold was ever read.
-    known: bool,
+    /// Whether a fold was ever read, from the log or a peer.
+    loaded: bool,
     /// When the log last confirmed that the fold is complete.
-    confirmed: Option<Instant>,
+    confirmed_at: Option<Instant>,
 }
 
 /// An entry process.
@@ -104,7 +104,7 @@
         let entry = Arc::new(Self {
             claimant: format!("{}#{incarnation:08x}", settings.daemon.name),
             keys: Keys::new(&settings.account_keys, &settings.operator_keys),
-            ledger: Mutex::new(Ledger { fold: Fold::new(), known: false, confirmed: None }),
+            ledger: Mutex::new(Ledger { fold: Fold::new(), loaded: false, confirmed_at: None }),
             advanced: watch::Sender::new(0),
             fleet: Mutex::new(Fleet::new(&settings.daemon.domain)),
             peers: Mutex::new(Peers::new(&settings.entry.peers)),
@@ -172,7 +172,7 @@
         while Instant::now() < deadline && self.open_requests.load(Ordering::Relaxed) > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.tell_leaving().await;
+        self.notify_leaving().await;
         let server = lock(&self.http).take();
         if let Some(server) = server {
             let left = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(500));
@@ -190,7 +190,7 @@
         loop {
             let announced = {
                 let ledger = lock(&self.ledger);
-                ledger.known && ledger.fold.entries.get(&name) == Some(&self.address)
+                ledger.loaded && ledger.fold.entries.get(&name) == Some(&self.address)
             };
             if !announced {
                 let record = Record::Entry { name: name.clone(), address: self.address.clone() };
@@ -205,12 +205,12 @@
     /// Runs `read` on the fold, if one is known.
     fn with_fold<T>(&self, read: impl FnOnce(&Fold) -> T) -> Option<T> {
         let ledger = lock(&self.ledger);
-        ledger.known.then(|| read(&ledger.fold))
+        ledger.loaded.then(|| read(&ledger.fold))
     }
 
     /// Returns how long ago the log confirmed that the fold is complete, in milliseconds.
     fn config_age_ms(&self) -> Option<Millis> {
-        lock(&self.ledger).confirmed.map(|at| at.elapsed().as_millis() as Millis)
+        lock(&self.ledger).confirmed_at.map(|at| at.elapsed().as_millis() as Millis)
     }
 
     /// Returns the names of jobs that a driver of this process looks after.
--- a/crates/daemon/src/entry/operator.rs
+++ b/crates/daemon/src/entry/operator.rs
@@ -271,7 +271,7 @@
             sorrelland_core::queue::check_shape(&tables, shape)
                 .map_err(|refusal| ApiError::new(422, "never_fits", refusal))?;
         }
-        let unbacked = self.unbacked(account, config);
+        let unbacked = self.unbacked_shapes(account, config);
         if unbacked.is_empty() {
             return Ok(());
         }
--- a/crates/daemon/src/entry/peers.rs
+++ b/crates/daemon/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Other entries: who is there, and the adoption of jobs whose entry is gone.
+//! Liveness of the other entries, and the adoption of jobs whose entry no longer responds.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,36 +13,36 @@
 use crate::entry::Entry;
 use crate::sync::lock;
 
-/// Time between two pings to each entry.
+/// Interval between pings to each entry.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time for an answer to a ping.
+/// Time-out of one ping.
 const PING_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Silence after which an entry counts as gone.
-const GONE_AFTER: Duration = Duration::from_millis(3_000);
+/// Time without a ping after which an entry counts as down.
+const DOWN_AFTER: Duration = Duration::from_millis(3_000);
 
-/// Silence after which an entry is not missed any more: it was replaced.
+/// Time without a ping after which an entry that is down is no longer reported: it was replaced.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
 
-/// Silence after which the jobs of an entry are adopted.
+/// Time without a ping after which the jobs of an entry are adopted.
 const ADOPT_AFTER: Duration = Duration::from_secs(5);
 
-/// Jobs that are adopted in one append.
-const ADOPT_BATCH: usize = 500;
+/// Jobs adopted in one append at most.
+const MAX_ADOPT_BATCH: usize = 500;
 
 #[derive(Clone, Debug)]
-struct Row {
+struct PeerRow {
     name: String,
     offset: u64,
     leaving: bool,
-    seen: Instant,
+    last_ping: Instant,
 }
 
-/// The other entries.
+/// Table of the other entries, by address, and of the last ping of each claimant.
 #[derive(Debug)]
 pub struct Peers {
-    rows: BTreeMap<String, Option<Row>>,
+    rows: BTreeMap<String, Option<PeerRow>>,
     claimants: BTreeMap<String, Instant>,
     started: Instant,
 }
@@ -57,56 +57,57 @@
         }
     }
 
-    /// Adds an address.
+    /// Adds the address of an entry.
     pub fn add(&mut self, address: &str) {
         self.rows.entry(address.to_owned()).or_default();
     }
 
-    /// Takes another entry's word.
-    pub fn take(&mut self, ping: &Ping) {
+    /// Records another entry's ping, or its reply to one.
+    pub fn record_ping(&mut self, ping: &Ping) {
         let now = Instant::now();
-        let row = Row { name: ping.name.clone(), offset: ping.offset, leaving: ping.leaving, seen: now };
+        let row =
+            PeerRow { name: ping.name.clone(), offset: ping.offset, leaving: ping.leaving, last_ping: now };
         self.rows.insert(ping.address.clone(), Some(row));
         if ping.leaving {
-            // Its jobs are free at once.
+            // Its jobs may be adopted without waiting for `ADOPT_AFTER`.
             self.claimants.remove(&ping.name);
         } else {
             self.claimants.insert(ping.name.clone(), now);
         }
     }
 
-    /// Returns all addresses.
     pub fn addresses(&self) -> Vec<String> {
         self.rows.keys().cloned().collect()
     }
 
-    /// Returns name and folded offset of the entries that are there.
+    /// Returns the name and the folded offset of the responsive entries.
     pub fn live(&self) -> Vec<(String, u64)> {
-        let here = |row: &&Row| row.seen.elapsed() < GONE_AFTER && !row.leaving;
-        self.rows.values().flatten().filter(here).map(|row| (row.name.clone(), row.offset)).collect()
+        let live = |row: &&PeerRow| row.last_ping.elapsed() < DOWN_AFTER && !row.leaving;
+        self.rows.values().flatten().filter(live).map(|row| (row.name.clone(), row.offset)).collect()
     }
 
-    /// Returns the names of entries that were there and are silent now.
-    pub fn silent(&self) -> Vec<String> {
-        let silent = |row: &&Row| (GONE_AFTER..FORGET_AFTER).contains(&row.seen.elapsed()) && !row.leaving;
-        self.rows.values().flatten().filter(silent).map(|row| row.name.clone()).collect()
+    /// Returns the names of entries that have stopped responding without leaving.
+    pub fn unresponsive(&self) -> Vec<String> {
+        let down = |r: &&PeerRow| (DOWN_AFTER..FORGET_AFTER).contains(&r.last_ping.elapsed()) && !r.leaving;
+        self.rows.values().flatten().filter(down).map(|row| row.name.clone()).collect()
     }
 
-    /// Returns whether `own` comes first among the entries that are there.
+    /// Returns whether `own` is the first name among the responsive entries.
     pub fn is_first(&self, own: &str) -> bool {
         self.live().iter().all(|(name, _)| own <= name.as_str())
     }
 
-    /// Returns whether a claimant has been silent for so long that its jobs are adopted.
-    fn is_gone(&self, claimant: &str) -> bool {
+    /// Returns whether a claimant has left, or not responded for so long, that its jobs are adopted.
+    fn is_adoptable(&self, claimant: &str) -> bool {
         match self.claimants.get(claimant) {
-            Some(seen) => seen.elapsed() > ADOPT_AFTER,
+            Some(last_ping) => last_ping.elapsed() > ADOPT_AFTER,
             None => self.started.elapsed() > ADOPT_AFTER,
         }
     }
 }
 
 impl Entry {
+    /// Pings the other entries and adopts orphaned jobs at each interval.
     pub(super) async fn peer_loop(self: Arc<Self>) {
         loop {
             let known = self.with_fold(|fold| fold.entries.values().cloned().collect::<Vec<_>>());
@@ -139,12 +140,13 @@
             .entries
             .call(address, |peer| async move { peer.ping(call_context(PING_TIMEOUT), ping).await });
         match call.await {
-            Ok(pong) => lock(&self.peers).take(&pong),
-            Err(e) => log::trace!("entry at {address} does not answer: {e}"),
+            Ok(pong) => lock(&self.peers).record_ping(&pong),
+            Err(e) => log::trace!("ping to entry at {address} failed: {e}"),
         }
     }
 
-    pub(super) async fn tell_leaving(&self) {
+    /// Notifies the other entries that this one leaves, so that they adopt its jobs at once.
+    pub(super) async fn notify_leaving(&self) {
         let addresses = lock(&self.peers).addresses();
         for address in addresses.iter().filter(|address| **address != self.address) {
             let ping = self.own_ping(true);
@@ -152,12 +154,12 @@
                 .entries
                 .call(address, |peer| async move { peer.ping(call_context(PING_TIMEOUT), ping).await });
             if let Err(e) = call.await {
-                log::debug!("entry at {address} learns of the stop by silence: {e}");
+                log::debug!("entry at {address} was not notified of the stop: {e}");
             }
         }
     }
 
-    /// Claims the jobs of entries that are gone, if this entry comes first among those that are there.
+    /// Claims the jobs of entries that no longer respond, if this entry is the first of the responsive ones.
     async fn adopt_orphans(&self) {
         if self.stop.is_raised() || !lock(&self.peers).is_first(&self.claimant) {
             return;
@@ -166,15 +168,15 @@
             let peers = lock(&self.peers);
             let orphaned = |(name, job): (&JobId, &sorrelland_ledger::Job)| {
                 let claimant = job.claimant.as_deref().unwrap_or_default();
-                let open = !matches!(job.stage, Stage::Ended(_));
-                let orphan = open && claimant != self.claimant && peers.is_gone(claimant);
+                let unended = !matches!(job.stage, Stage::Ended(_));
+                let orphan = unended && claimant != self.claimant && peers.is_adoptable(claimant);
                 orphan.then(|| Record::Claim {
                     job: name.clone(),
                     entry: self.claimant.clone(),
                     base: job.claim,
                 })
             };
-            fold.jobs.iter().filter_map(orphaned).take(ADOPT_BATCH).collect::<Vec<_>>()
+            fold.jobs.iter().filter_map(orphaned).take(MAX_ADOPT_BATCH).collect::<Vec<_>>()
         });
         let orphans = orphans.unwrap_or_default();
         if orphans.is_empty() {
@@ -182,8 +184,8 @@
         }
         let count = orphans.len();
         match self.write(orphans).await {
-            Ok(()) => log::info!("adopts {count} jobs of entries that are gone"),
-            Err(e) => log::debug!("jobs are not adopted yet: {e}"),
+            Ok(()) => log::info!("adopted {count} jobs of entries that no longer respond"),
+            Err(e) => log::debug!("orphaned jobs not adopted yet: {e}"),
         }
     }
 }
--- a/crates/daemon/src/entry/plan.rs
+++ b/crates/daemon/src/entry/plan.rs
@@ -1,4 +1,4 @@
-//! Proposing the guarantee plan on the log.
+//! Proposals of the guarantee plan, written to the log.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,23 +15,25 @@
 use crate::entry::Entry;
 use crate::sync::lock;
 
-/// Time between two looks at whether the plan still fits.
-const PLAN_TICK: Duration = Duration::from_millis(1_000);
+/// Interval between checks whether the plan still fits.
+const PLAN_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time for which a worker may be silent before its backing moves, as looks at the plan.
-const STABLE_LOOKS: u32 = 3;
+/// Consecutive checks with the same proposal before backing moves: a worker may only be unresponsive for a moment.
+const MIN_STABLE_CHECKS: u32 = 3;
 
-/// Time after the start in which an entry may not have heard of every worker yet.
-const SETTLE: Duration = Duration::from_secs(10);
+/// Time after the start within which some workers may not have sent a heartbeat yet.
+const STARTUP_GRACE: Duration = Duration::from_secs(10);
 
 impl Entry {
-    /// Proposes a plan whenever accounts or workers changed; the first on the log wins.
+    /// Proposes a plan whenever accounts or workers changed; the first proposal on the log takes effect.
+    ///
+    /// Only the first of the responsive entries proposes.
     pub(super) async fn plan_loop(self: Arc<Self>) {
         let started = Instant::now();
         let mut candidate: Option<(Plan, u32)> = None;
-        let mut settled = None;
+        let mut planned_inputs = None;
         loop {
-            tokio::time::sleep(PLAN_TICK).await;
+            tokio::time::sleep(PLAN_CHECK_INTERVAL).await;
             if lock(&self.fleet).rows().is_empty() || !lock(&self.peers).is_first(&self.claimant) {
                 continue;
             }
@@ -42,33 +44,34 @@
             };
             let workers = lock(&self.fleet).workers();
             let inputs = fingerprint(&accounts, &workers, version);
-            if settled == Some(inputs) {
+            if planned_inputs == Some(inputs) {
                 continue;
             }
             let proposal = propose(&accounts, &workers, &plan);
             if proposal == plan {
                 candidate = None;
-                settled = Some(inputs);
+                planned_inputs = Some(inputs);
                 continue;
             }
-            // A change of accounts is planned at once; lost workers may only have been late.
-            let shrinks = loses_backing(&plan, &proposal);
-            let looks = candidate.as_ref().filter(|(p, _)| *p == proposal).map_or(1, |(_, looks)| looks + 1);
-            candidate = Some((proposal.clone(), looks));
-            if shrinks && (looks < STABLE_LOOKS || started.elapsed() < SETTLE) {
+            // Account changes are planned at once; a lost worker may only have been late.
+            let removes_backing = loses_backing(&plan, &proposal);
+            let checks =
+                candidate.as_ref().filter(|(p, _)| *p == proposal).map_or(1, |(_, checks)| checks + 1);
+            candidate = Some((proposal.clone(), checks));
+            if removes_backing && (checks < MIN_STABLE_CHECKS || started.elapsed() < STARTUP_GRACE) {
                 continue;
             }
-            let short: usize = proposal.shortfall.values().map(Vec::len).sum();
+            let unbacked: usize = proposal.shortfall.values().map(Vec::len).sum();
             match self.write(vec![Record::Plan { base: version, plan: proposal }]).await {
-                Ok(()) if short > 0 => log::warn!("guarantee plan leaves {short} shapes without backing"),
-                Ok(()) => log::info!("guarantee plan is on the log"),
-                Err(e) => log::debug!("guarantee plan is not on the log: {e}"),
+                Ok(()) if unbacked > 0 => log::warn!("guarantee plan leaves {unbacked} shapes unbacked"),
+                Ok(()) => log::info!("recorded guarantee plan"),
+                Err(e) => log::debug!("guarantee plan was not recorded: {e}"),
             }
         }
     }
 
-    /// Returns the shapes of a changed account that the fleet cannot back beside all the others.
-    pub(super) fn unbacked(&self, account: &AccountId, config: &Account) -> Vec<Shape> {
+    /// Returns the shapes of a changed account that the fleet cannot back in addition to all other guarantees.
+    pub(super) fn unbacked_shapes(&self, account: &AccountId, config: &Account) -> Vec<Shape> {
         let Some((plan, mut accounts)) = self.with_fold(|fold| (fold.plan.clone(), fold.accounts.clone()))
         else {
             return Vec::new();
@@ -86,7 +89,7 @@
     }
 }
 
-/// Returns a number that changes with whatever the plan depends on.
+/// Returns a hash of the inputs of the plan.
 fn fingerprint(
     accounts: &BTreeMap<AccountId, Account>,
     workers: &BTreeMap<WorkerId, Worker>,
@@ -103,7 +106,7 @@
     hasher.finish()
 }
 
-/// Returns whether a worker that backs a guarantee in `old` backs it no more in `new`.
+/// Returns whether `new` lacks a binding that `old` has.
 fn loses_backing(old: &Plan, new: &Plan) -> bool {
     old.bindings.iter().any(|(account, bindings)| {
         let kept = new.bindings.get(account);
--- a/crates/daemon/src/entry/query.rs
+++ b/crates/daemon/src/entry/query.rs
@@ -78,7 +78,7 @@
         let workers = lock(&self.fleet).workers();
         let lost = workers.iter().filter(|(_, worker)| worker.standing == Standing::Lost);
         let mut missing: Vec<String> = lost.map(|(id, _)| format!("worker {id}")).collect();
-        missing.extend(lock(&self.peers).silent().into_iter().map(|name| format!("entry {name}")));
+        missing.extend(lock(&self.peers).unresponsive().into_iter().map(|name| format!("entry {name}")));
         RowsAnswer { columns: columns.to_vec(), rows, missing, config_age_ms: self.config_age_ms() }
     }
 
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -28,7 +28,7 @@
     }
 
     async fn ping(self, _: Context, ping: Ping) -> Ping {
-        lock(&self.0.peers).take(&ping);
+        lock(&self.0.peers).record_ping(&ping);
         self.0.own_ping(self.0.stop.is_raised())
     }
 
--- a/crates/daemon/src/entry/write.rs
+++ b/crates/daemon/src/entry/write.rs
@@ -1,4 +1,4 @@
-//! Batched appends to the log, each answered once the own fold has read it back.
+//! Batched appends to the log; a write completes once the entry's own fold has read it back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,29 +13,29 @@
 /// Result of a write.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Writes that may wait for the log.
-const QUEUE_LIMIT: usize = 4_096;
+/// Writes that may wait in the queue at most.
+const MAX_QUEUED_WRITES: usize = 4_096;
 
-/// Records of one append at most.
-const BATCH_LIMIT: usize = 1_000;
+/// Records in a batch after which no further write is added to it.
+const MAX_BATCH_RECORDS: usize = 1_000;
 
-/// Time until the own fold has read an append back.
-const READ_BACK: Duration = Duration::from_secs(3);
+/// Time within which the own fold must have read an append back.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why it is not known that a record is on the log.
+/// Why a record is not known to be on the log.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
     /// Nothing was appended.
-    #[display("the log was not reached: nothing was recorded")]
+    #[display("log unreachable: nothing was recorded")]
     NotWritten,
     /// The append may have taken effect.
-    #[display("the log gave no answer: it is not known yet whether the record stands")]
+    #[display("log did not confirm the append: it is not known yet whether the record was written")]
     Unknown,
 }
 
 struct Write {
     records: Vec<Record>,
-    done: oneshot::Sender<Result<()>>,
+    result_tx: oneshot::Sender<Result<()>>,
 }
 
 /// The queue of writes.
@@ -47,7 +47,7 @@
 impl Writer {
     /// Creates an empty queue.
     pub fn new() -> Self {
-        let (tx, rx) = mpsc::channel(QUEUE_LIMIT);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_WRITES);
         Self { tx, rx: Mutex::new(rx) }
     }
 }
@@ -57,12 +57,12 @@
     ///
     /// # Errors
     ///
-    /// Returns whether nothing was appended or it is not known yet.
+    /// Returns [`Error::NotWritten`] if nothing was appended, [`Error::Unknown`] if it is not known yet.
     pub(super) async fn write(&self, records: Vec<Record>) -> Result<()> {
-        let (done, answer) = oneshot::channel();
-        let write = Write { records, done };
+        let (result_tx, result_rx) = oneshot::channel();
+        let write = Write { records, result_tx };
         self.writer.tx.try_send(write).map_err(|_| Error::NotWritten)?;
-        answer.await.unwrap_or(Err(Error::Unknown))
+        result_rx.await.unwrap_or(Err(Error::Unknown))
     }
 
     pub(super) async fn write_loop(self: Arc<Self>) {
@@ -70,8 +70,8 @@
         while let Some(first) = rx.recv().await {
             let mut batch = vec![first];
             let mut records = batch[0].records.len();
-            // Whatever came in while the append before was on its way goes into one call.
-            while records < BATCH_LIMIT
+            // Writes that arrived during the previous append go into one call.
+            while records < MAX_BATCH_RECORDS
                 && let Ok(next) = rx.try_recv()
             {
                 records += next.records.len();
@@ -95,25 +95,28 @@
                 Err(Error::NotWritten)
             }
             Err(log_client::Error::Unknown(e)) => {
-                log::debug!("append is not answered: {e}");
+                log::debug!("result of an append is unknown: {e}");
                 self.metrics.append("unknown");
                 Err(Error::Unknown)
             }
         }
     }
 
+    /// Waits until the fold has read an append back, and sends the result to the callers of its writes.
     async fn read_back(&self, batch: Vec<Write>, result: Result<u64>) {
         let result = match result {
             Ok(next) => {
                 let mut advanced = self.advanced.subscribe();
-                let reached = tokio::time::timeout(READ_BACK, advanced.wait_for(|at| *at >= next)).await;
+                let reached =
+                    tokio::time::timeout(READ_BACK_TIMEOUT, advanced.wait_for(|offset| *offset >= next))
+                        .await;
                 if matches!(reached, Ok(Ok(_))) { Ok(()) } else { Err(Error::Unknown) }
             }
             Err(e) => Err(e),
         };
         for write in batch {
-            // The writer may have gone away; its record stands all the same.
-            let _ = write.done.send(result.clone());
+            // Sending fails if the caller no longer waits; the record was appended all the same.
+            let _ = write.result_tx.send(result.clone());
         }
     }
 }
