--- a/crates/daemon/src/entry/api.rs
+++ b/crates/daemon/src/entry/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface for callers.
+//! HTTP API for callers.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -28,13 +28,13 @@
 /// Context of the endpoints.
 pub type Cx = RequestContext<Arc<Entry>>;
 
-/// Characters of a name at most.
-const NAME_LIMIT: usize = 128;
+/// Longest name, in characters.
+const MAX_NAME_LENGTH: usize = 128;
 
-/// When to come back while the entry knows no configuration or stops, in milliseconds.
+/// Time after which a caller should retry, for instance while the entry has no configuration or stops.
 const RETRY_MS: u64 = 1_000;
 
-/// A minted key.
+/// Answer with a new idempotency key.
 #[derive(Serialize, JsonSchema)]
 struct KeyAnswer {
     key: String,
@@ -45,45 +45,45 @@
     name: String,
 }
 
-/// A request that is open at this entry; it is counted until dropped.
-pub(super) struct Open<'a>(&'a Entry);
+/// Guard that counts an open request of this entry until it is dropped.
+pub(super) struct OpenRequest<'a>(&'a Entry);
 
-impl<'a> Open<'a> {
-    /// Opens a request unless the entry stops, is full or knows no configuration.
+impl<'a> OpenRequest<'a> {
+    /// Counts a request unless the entry is stopping, at its limit or without configuration.
     ///
     /// # Errors
     ///
-    /// Returns 503 with the time after which to come back.
+    /// Returns 503 with the time after which to retry.
     pub fn new(entry: &'a Entry) -> Result<Self> {
         let refuse =
             |code: &str, message: &str| Err(ApiError::new(503, code, message).with_retry_after_ms(RETRY_MS));
         let open = Self(entry);
-        let others = entry.open_requests.fetch_add(1, Ordering::Relaxed);
+        let already_open = entry.open_requests.fetch_add(1, Ordering::Relaxed);
         if entry.stop.is_raised() {
-            return refuse("draining", "this entry stops; another one takes the request");
+            return refuse("draining", "this entry is stopping; send the request to another one");
         }
-        if others as usize >= entry.settings.entry.connection_limit {
-            return refuse("busy", "this entry has too many requests open");
+        if already_open as usize >= entry.settings.entry.connection_limit {
+            return refuse("busy", "this entry has too many open requests");
         }
         if entry.with_fold(|_| ()).is_none() {
-            return refuse("no_configuration", "this entry knows no configuration yet");
+            return refuse("no_configuration", "this entry has no configuration yet");
         }
         Ok(open)
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
         self.0.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Mints an idempotency key.
+/// Creates an idempotency key.
 #[endpoint { method = POST, path = "/v1/keys" }]
 async fn post_key(cx: Cx) -> Result<HttpResponseOk<KeyAnswer>> {
     let entry = cx.context();
     entry.keys.account(&cx)?;
-    let _open = Open::new(entry)?;
+    let _open = OpenRequest::new(entry)?;
     let key = entry.mint_key().ok_or_else(|| {
         ApiError::new(503, "no_upstream", "no agent is ready").with_retry_after_ms(RETRY_MS)
     })?;
@@ -96,8 +96,8 @@
     let entry = cx.context();
     let account = entry.keys.account(&cx)?;
     let body = body.into_inner();
-    let _open = Open::new(entry)?;
-    known_account(entry, &account)?;
+    let _open = OpenRequest::new(entry)?;
+    check_account(entry, &account)?;
     let id = match &body.request {
         Some(id) => checked_name("request", id)?.to_owned(),
         None => format!("{:032x}", rand::random::<u128>()),
@@ -114,6 +114,7 @@
     answer.into_response()
 }
 
+/// Returns the request's idempotency key; one is required unless the request is idempotent.
 fn request_key(body: &RequestBody) -> Result<Option<Key>> {
     match &body.key {
         Some(key) => match key.parse() {
@@ -122,22 +123,24 @@
         },
         None if body.idempotent => Ok(None),
         None => {
-            let message = "a request that is not idempotent needs a key: take one with POST /v1/keys";
+            let message = "a request that is not idempotent needs a key: get one with POST /v1/keys";
             Err(ApiError::new(428, "key_required", message))
         }
     }
 }
 
+/// Returns `name` if it may be used as a name; `what` names the field in the error.
 pub(super) fn checked_name<'a>(what: &str, name: &'a str) -> Result<&'a str> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
-    if name.is_empty() || name.len() > NAME_LIMIT || !name.chars().all(plain) {
-        let message = format!("{what} must be 1 to {NAME_LIMIT} of letters, digits, '.', '_' and '-'");
+    let allowed = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
+    if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(allowed) {
+        let message =
+            format!("{what} must be 1 to {MAX_NAME_LENGTH} characters of letters, digits, '.', '_' and '-'");
         return Err(ApiError::new(400, "bad_name", message));
     }
     Ok(name)
 }
 
-fn known_account(entry: &Entry, account: &AccountId) -> Result<()> {
+fn check_account(entry: &Entry, account: &AccountId) -> Result<()> {
     match entry.with_fold(|fold| fold.accounts.contains_key(account)) {
         Some(true) => Ok(()),
         _ => {
@@ -152,8 +155,8 @@
     let entry = cx.context();
     let account = entry.keys.account(&cx)?;
     let body = body.into_inner();
-    let _open = Open::new(entry)?;
-    known_account(entry, &account)?;
+    let _open = OpenRequest::new(entry)?;
+    check_account(entry, &account)?;
     let id = job_id(&account, checked_name("name", &body.name)?);
     let spec = JobSpec {
         demand: Demand {
@@ -167,7 +170,7 @@
         work: body.work.clone(),
     };
     if let Some(known) = entry.with_fold(|fold| fold.jobs.get(&id).cloned()).flatten() {
-        return same_job(entry, &body.name, &spec, &known);
+        return existing_job(entry, &body.name, &spec, &known);
     }
     entry.admit(&spec.demand)?;
     match body.attached {
@@ -176,9 +179,10 @@
     }
 }
 
-fn same_job(entry: &Entry, name: &str, spec: &JobSpec, known: &Job) -> Result<Response<Body>> {
+/// Returns the state of a job that exists under the submitted name, or 409 if its specification differs.
+fn existing_job(entry: &Entry, name: &str, spec: &JobSpec, known: &Job) -> Result<Response<Body>> {
     if known.spec != *spec {
-        let message = format!("job {name} was submitted before with other contents");
+        let message = format!("job {name} was submitted before with different contents");
         return Err(ApiError::new(409, "job_differs", message));
     }
     respond(StatusCode::OK, None, &job_answer(entry, name, known))
@@ -188,12 +192,12 @@
     JobId::new(&format!("{account}/{name}"))
 }
 
-/// Tells what has become of a job.
+/// Returns the state of a job.
 #[endpoint { method = GET, path = "/v1/jobs/{name}" }]
 async fn get_job(cx: Cx, path: Path<JobPath>) -> Result<HttpResponseOk<JobAnswer>> {
     let entry = cx.context();
     let account = entry.keys.account(&cx)?;
-    let _open = Open::new(entry)?;
+    let _open = OpenRequest::new(entry)?;
     let name = path.into_inner().name;
     let known = entry.with_fold(|fold| fold.jobs.get(&job_id(&account, &name)).cloned()).flatten();
     match known {
@@ -207,7 +211,7 @@
 async fn delete_job(cx: Cx, path: Path<JobPath>) -> Result<Response<Body>> {
     let entry = cx.context();
     let account = entry.keys.account(&cx)?;
-    let _open = Open::new(entry)?;
+    let _open = OpenRequest::new(entry)?;
     let name = path.into_inner().name;
     let id = job_id(&account, &name);
     let known = entry.with_fold(|fold| fold.jobs.get(&id).cloned()).flatten();
@@ -254,15 +258,15 @@
 }
 
 impl Entry {
-    /// Checks whether a demand may wait.
+    /// Checks whether a job with this demand may be queued.
     fn admit(&self, demand: &Demand) -> Result<()> {
         let mut tables = self.tables(unix_ms());
         if tables.workers.is_empty() {
-            let error = ApiError::new(503, "no_upstream", "no worker is known yet");
+            let error = ApiError::new(503, "no_upstream", "no worker has reported yet");
             return Err(error.with_retry_after_ms(RETRY_MS));
         }
         self.with_fold(|fold| {
-            let waits = fold
+            let waiting_jobs = fold
                 .jobs
                 .iter()
                 .filter(|(_, job)| job.stage == Stage::Waiting && job.spec.demand.account == demand.account);
@@ -270,7 +274,7 @@
                 let demand = job.spec.demand.clone();
                 (name.clone(), Waiting { demand, since_ms: job.accepted_ms, done_ms: job.done_ms })
             };
-            tables.waiting = waits.map(waiting).collect();
+            tables.waiting = waiting_jobs.map(waiting).collect();
         });
         admit(&tables, demand).map_err(|refusal| {
             let (status, code) = match refusal {
@@ -284,7 +288,7 @@
         })
     }
 
-    /// Records a job and its claim in one append; only then is it accepted.
+    /// Accepts a job: records it and its claim in one append.
     async fn accept(&self, name: &str, id: JobId, spec: JobSpec) -> Result<Response<Body>> {
         let records = vec![
             Record::Accepted { job: id.clone(), spec: spec.clone(), accepted_ms: unix_ms() },
@@ -300,13 +304,13 @@
                 respond(StatusCode::ACCEPTED, None, &job_answer(self, name, &known))
             }
             Some(_) => {
-                Err(ApiError::new(409, "job_differs", format!("job {name} exists with other contents")))
+                Err(ApiError::new(409, "job_differs", format!("job {name} exists with different contents")))
             }
             None => Err(write_error(write::Error::Unknown)),
         }
     }
 
-    /// Runs a job while its caller waits; it is not on the log and needs none.
+    /// Runs a job while its caller waits; it is not on the log and runs while the log is down.
     async fn run_attached(&self, body: &JobBody, id: JobId, spec: JobSpec) -> Result<Response<Body>> {
         let id = JobId::new(&format!("{id}~{:08x}", rand::random::<u32>()));
         let (tx, mut rx) = oneshot::channel();
@@ -320,7 +324,7 @@
                 Ok(Ok(outcome)) => break outcome,
                 Ok(Err(_)) => break JobOutcome::Unknown { reason: "the attempt was lost".to_owned() },
                 Err(_) if Instant::now() >= start_by && self.withdraw(&id) => {
-                    let reason = format!("no room within {} ms", body.start_within_ms);
+                    let reason = format!("no free capacity within {} ms", body.start_within_ms);
                     break JobOutcome::NotRun { reason };
                 }
                 Err(_) => {}
@@ -340,24 +344,24 @@
         respond(status, not_run.then_some(RETRY_MS), &answer)
     }
 
-    /// Takes an attached job back if no attempt got past its reservation.
+    /// Removes an attached job unless an attempt has reserved its workers; returns whether it did not run.
     fn withdraw(&self, id: &JobId) -> bool {
         let mut table = lock(&self.attached);
-        let waits = table.get(id).is_none_or(Attached::is_waiting);
-        if waits {
+        let is_waiting = table.get(id).is_none_or(Attached::is_waiting);
+        if is_waiting {
             table.remove(id);
         }
-        waits
+        is_waiting
     }
 }
 
-/// Tells whether the process runs.
+/// Answers as long as the process serves requests.
 #[endpoint { method = GET, path = "/v1/health" }]
 async fn get_health(_cx: Cx) -> Result<HttpResponseOk<()>> {
     Ok(HttpResponseOk(()))
 }
 
-/// Whether an entry takes work, and how much it knows.
+/// Whether an entry accepts work, and the state that this depends on.
 #[derive(Serialize, JsonSchema)]
 struct Readiness {
     ready: bool,
@@ -366,7 +370,7 @@
     workers: usize,
 }
 
-/// Tells whether the entry takes work.
+/// Returns whether the entry accepts work; 503 if it does not.
 #[endpoint { method = GET, path = "/v1/ready" }]
 async fn get_ready(cx: Cx) -> Result<Response<Body>> {
     let entry = cx.context();
@@ -383,7 +387,7 @@
     respond(status, None, &answer)
 }
 
-/// Returns the metrics in Prometheus text form; they name accounts, so an operator's key is needed.
+/// Returns the metrics in Prometheus text format; they contain account names, hence an operator key is required.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn get_metrics(cx: Cx) -> Result<Response<Body>> {
     let entry = cx.context();
@@ -393,7 +397,7 @@
     response.map_err(|e| ApiError::new(500, "internal", e))
 }
 
-/// Starts the server of an entry.
+/// Starts the HTTP server of an entry.
 ///
 /// # Errors
 ///
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: takes callers and operators, and decides placement over state that it can lose.
+//! The entry: serves callers and operators and decides placement; its state can be rebuilt from the log and the agents.
 
 mod answer;
 mod api;
@@ -50,7 +50,7 @@
 use crate::stop::Stop;
 use crate::sync::lock;
 
-/// What an entry knows of the log.
+/// State folded from the log.
 struct Ledger {
     fold: Fold,
     /// Whether a fold was ever read, from the log or a peer.
@@ -62,15 +62,17 @@
 /// An entry process.
 pub struct Entry {
     settings: Settings,
-    /// Name and life, as claims carry it.
+    /// Name and incarnation of the entry, as its claims on the log carry them.
     claimant: String,
     address: String,
     keys: Keys,
     ledger: Mutex<Ledger>,
+    /// Next offset of the fold; signals that the fold has advanced.
     advanced: watch::Sender<u64>,
     fleet: Mutex<Fleet>,
     peers: Mutex<Peers>,
     scheduler: Mutex<Scheduler>,
+    /// State of the jobs that tasks of this process drive.
     drivers: Mutex<BTreeMap<JobId, schedule::Driver>>,
     epochs: Mutex<Epochs>,
     attached: Mutex<BTreeMap<JobId, Attached>>,
@@ -91,7 +93,7 @@
 }
 
 impl Entry {
-    /// Binds the addresses.
+    /// Creates an entry and binds its addresses.
     ///
     /// # Errors
     ///
@@ -131,23 +133,23 @@
         });
         let server = api::start(entry.clone())?;
         let http_address = server.local_addr().to_string();
-        log::info!("entry {} listens on {http_address} and {}", entry.claimant, entry.address);
+        log::info!("entry {} listening on {http_address} (HTTP) and {} (RPC)", entry.claimant, entry.address);
         *lock(&entry.http_address) = http_address;
         *lock(&entry.http) = Some(server);
         Ok(entry)
     }
 
-    /// Returns the address for callers and operators.
+    /// Returns the HTTP address for callers and operators.
     pub fn http_address(&self) -> String {
         lock(&self.http_address).clone()
     }
 
-    /// Returns the address for the other processes.
+    /// Returns the RPC address for agents and other entries.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Runs until asked to stop, then finishes what is in flight.
+    /// Runs until asked to stop, then drains the open requests.
     pub async fn run(self: Arc<Self>) {
         let mut tasks = JoinSet::new();
         if let Some(listener) = lock(&self.listener).take() {
@@ -159,15 +161,15 @@
         tasks.spawn(self.clone().peer_loop());
         tasks.spawn(self.clone().schedule_loop());
         tasks.spawn(self.clone().plan_loop());
-        tasks.spawn(self.clone().push_loop());
+        tasks.spawn(self.clone().push_config_loop());
         self.stop.raised().await;
-        self.leave().await;
-        log::info!("entry {} has stopped", self.claimant);
+        self.shut_down().await;
+        log::info!("entry {} stopped", self.claimant);
     }
 
-    /// Refuses new work, tells the others, and waits for what is in flight.
-    async fn leave(&self) {
-        log::info!("entry {} leaves: it takes nothing new", self.claimant);
+    /// Waits for open requests, notifies the other entries, and closes the HTTP server within the drain time.
+    async fn shut_down(&self) {
+        log::info!("entry {} is draining and refuses new requests", self.claimant);
         let deadline = Instant::now() + self.settings.daemon.drain;
         while Instant::now() < deadline && self.open_requests.load(Ordering::Relaxed) > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -175,8 +177,9 @@
         self.notify_leaving().await;
         let server = lock(&self.http).take();
         if let Some(server) = server {
-            let left = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(500));
-            match tokio::time::timeout(left, server.close()).await {
+            let remaining =
+                deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(500));
+            match tokio::time::timeout(remaining, server.close()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(e)) => log::warn!("HTTP server did not close: {e}"),
                 Err(_) => log::warn!("HTTP connections were still open at the end of the drain"),
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Tells this entry's address on the log once, and again after it changed hands.
+    /// Records this entry's address on the log, and again whenever the log has another address for its name.
     async fn announce_loop(self: Arc<Self>) {
         let name = self.settings.daemon.name.clone();
         loop {
@@ -195,26 +198,26 @@
             if !announced {
                 let record = Record::Entry { name: name.clone(), address: self.address.clone() };
                 if let Err(e) = self.write(vec![record]).await {
-                    log::debug!("address is not announced yet: {e}");
+                    log::debug!("entry address not recorded yet: {e}");
                 }
             }
             tokio::time::sleep(Duration::from_secs(2)).await;
         }
     }
 
-    /// Runs `read` on the fold, if one is known.
+    /// Runs `read` on the fold; returns `None` if no fold was loaded yet.
     fn with_fold<T>(&self, read: impl FnOnce(&Fold) -> T) -> Option<T> {
         let ledger = lock(&self.ledger);
         ledger.loaded.then(|| read(&ledger.fold))
     }
 
-    /// Returns how long ago the log confirmed that the fold is complete, in milliseconds.
+    /// Returns the time since the log last confirmed that the fold is complete; `None` if it never did.
     fn config_age_ms(&self) -> Option<Millis> {
         lock(&self.ledger).confirmed_at.map(|at| at.elapsed().as_millis() as Millis)
     }
 
-    /// Returns the names of jobs that a driver of this process looks after.
-    fn driven(&self) -> BTreeSet<JobId> {
+    /// Returns the jobs that a task of this process drives, or that wait for a retry.
+    fn driven_jobs(&self) -> BTreeSet<JobId> {
         lock(&self.drivers).keys().cloned().collect()
     }
 }
@@ -226,7 +229,7 @@
     }
 }
 
-/// Returns milliseconds since 1970 by the wall clock; only ages and logs depend on it.
+/// Returns milliseconds since 1970 by the wall clock; used only for ages, delays and recorded times.
 fn unix_ms() -> Millis {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as Millis)
 }
--- a/crates/daemon/src/entry/operator.rs
+++ b/crates/daemon/src/entry/operator.rs
@@ -18,7 +18,7 @@
 use sorrelland_web::ApiError;
 
 use crate::entry::Entry;
-use crate::entry::api::{Cx, Open, Result, checked_name};
+use crate::entry::api::{Cx, OpenRequest, Result, checked_name};
 use crate::entry::query::post_query;
 use crate::entry::write;
 use crate::sync::lock;
@@ -104,7 +104,7 @@
     let entry = cx.context();
     let operator = entry.keys.operator(&cx)?;
     let body = body.into_inner();
-    let _open = Open::new(entry)?;
+    let _open = OpenRequest::new(entry)?;
     Ok(HttpResponseOk(entry.send_command(&operator, &body.id, body.base, body.command).await?))
 }
 
@@ -113,7 +113,7 @@
 async fn get_command(cx: Cx, path: Path<CommandPath>) -> Result<HttpResponseOk<CommandAnswer>> {
     let entry = cx.context();
     entry.keys.operator(&cx)?;
-    let _open = Open::new(entry)?;
+    let _open = OpenRequest::new(entry)?;
     Ok(HttpResponseOk(entry.command_answer(&path.into_inner().id)))
 }
 
@@ -122,7 +122,7 @@
 async fn get_force(cx: Cx, query: Query<ForceQuery>) -> Result<HttpResponseOk<InForce>> {
     let entry = cx.context();
     entry.keys.operator(&cx)?;
-    let _open = Open::new(entry)?;
+    let _open = OpenRequest::new(entry)?;
     Ok(HttpResponseOk(entry.in_force(query.into_inner().version)))
 }
 
@@ -131,7 +131,7 @@
 async fn get_config(cx: Cx) -> Result<HttpResponseOk<ConfigAnswer>> {
     let entry = cx.context();
     entry.keys.operator(&cx)?;
-    let _open = Open::new(entry)?;
+    let _open = OpenRequest::new(entry)?;
     let age = entry.config_age_ms();
     let answer = entry.with_fold(|fold| ConfigAnswer {
         version: fold.version,
@@ -151,7 +151,7 @@
 async fn get_workers(cx: Cx) -> Result<HttpResponseOk<Vec<WorkerAnswer>>> {
     let entry = cx.context();
     entry.keys.operator(&cx)?;
-    let _open = Open::new(entry)?;
+    let _open = OpenRequest::new(entry)?;
     let fleet = lock(&entry.fleet);
     let answer = fleet.rows().iter().map(|(id, row)| WorkerAnswer {
         worker: id.clone(),
--- a/crates/daemon/src/entry/query.rs
+++ b/crates/daemon/src/entry/query.rs
@@ -17,7 +17,7 @@
 use sorrelland_web::ApiError;
 
 use crate::entry::answer::respond;
-use crate::entry::api::{Cx, Open, Result};
+use crate::entry::api::{Cx, OpenRequest, Result};
 use crate::entry::operator::CommandAnswer;
 use crate::entry::rows;
 use crate::entry::{Entry, unix_ms};
@@ -55,7 +55,7 @@
 pub(super) async fn post_query(cx: Cx, body: TypedBody<QueryBody>) -> Result<Response<Body>> {
     let entry = cx.context();
     let operator = entry.keys.operator(&cx)?;
-    let _open = Open::new(entry)?;
+    let _open = OpenRequest::new(entry)?;
     let statement = parse(&body.into_inner().text).map_err(|e| ApiError::new(400, "syntax", e))?;
     let answer = match statement {
         Statement::Show { table, selection } => QueryAnswer::Rows(entry.show(table, &selection)?),
--- a/crates/daemon/src/entry/schedule.rs
+++ b/crates/daemon/src/entry/schedule.rs
@@ -102,7 +102,7 @@
 
     /// Drives placed jobs that have no driver yet: adopted ones, and those placed before a restart.
     fn drive_placed(self: &Arc<Self>, now_ms: Millis) {
-        let driven = self.driven();
+        let driven = self.driven_jobs();
         let placed = self.with_fold(|fold| {
             let own = fold.jobs.iter().filter(|(name, job)| self.is_own(job) && !driven.contains(*name));
             let placed = own.filter_map(|(name, job)| match &job.stage {
@@ -152,7 +152,7 @@
 
     /// Returns the waiting jobs that no task drives; on a stopping entry only attached ones.
     fn candidates(&self) -> BTreeMap<JobId, Candidate> {
-        let driven = self.driven();
+        let driven = self.driven_jobs();
         let mut candidates = BTreeMap::new();
         if !self.stop.is_raised() {
             let waiting = self.with_fold(|fold| self.waiting_jobs(fold));
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! The entry's remote calls, and the push of configuration to agents.
+//! The entry's RPC service, and the push of configuration to agents.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use crate::entry::Entry;
 use crate::sync::lock;
 
-/// Time for an agent to take a configuration.
+/// Time-out of a call that sends an agent its configuration.
 const CONFIGURE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Silence after which a worker is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+/// Time without a heartbeat after which a worker is removed from the table.
+const REMOVE_AFTER: Duration = Duration::from_secs(600);
 
 #[derive(Clone)]
 struct Service(Arc<Entry>);
 
 impl EntryRpc for Service {
-    async fn heartbeat(self, _: Context, beat: Heartbeat) -> HeartbeatReply {
-        self.0.take_beat(beat)
+    async fn heartbeat(self, _: Context, heartbeat: Heartbeat) -> HeartbeatReply {
+        self.0.handle_heartbeat(heartbeat)
     }
 
     async fn ping(self, _: Context, ping: Ping) -> Ping {
@@ -47,23 +47,25 @@
         .await;
     }
 
-    fn take_beat(&self, beat: Heartbeat) -> HeartbeatReply {
+    /// Records an agent's heartbeat; the reply carries the configuration if the agent's is out of date.
+    fn handle_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatReply {
         self.metrics.beat();
-        let asks = beat.report.is_some();
-        let (worker, offset) = (beat.worker.clone(), beat.offset);
+        let has_report = heartbeat.report.is_some();
+        let (worker, offset) = (heartbeat.worker.clone(), heartbeat.offset);
         let (report_number, next_ms) = {
             let mut fleet = lock(&self.fleet);
-            (fleet.record_heartbeat(beat), fleet.heartbeat_interval_ms())
+            (fleet.record_heartbeat(heartbeat), fleet.heartbeat_interval_ms())
         };
-        if asks {
+        if has_report {
             self.wake.notify_one();
         }
-        let behind = self.with_fold(|fold| fold.agent_version() + 1 > offset) == Some(true);
-        let config = if behind { self.agent_config(&worker) } else { None };
-        let entries = if asks { self.entry_addresses() } else { Vec::new() };
+        let outdated = self.with_fold(|fold| fold.agent_version() + 1 > offset) == Some(true);
+        let config = if outdated { self.agent_config(&worker) } else { None };
+        let entries = if has_report { self.entry_addresses() } else { Vec::new() };
         HeartbeatReply { report_number, next_ms: next_ms as u32, config, entries }
     }
 
+    /// Returns the addresses of the entries on the log, and the own one.
     fn entry_addresses(&self) -> Vec<String> {
         let mut addresses = self.with_fold(|fold| fold.entries.values().cloned().collect::<Vec<_>>());
         let addresses = addresses.get_or_insert_default();
@@ -73,10 +75,10 @@
         addresses.clone()
     }
 
-    /// Returns the part of the configuration that an agent needs, if any is known.
+    /// Returns the part of the configuration that an agent needs; `None` before a fold was loaded.
     fn agent_config(&self, worker: &WorkerId) -> Option<AgentConfig> {
         self.with_fold(|fold| AgentConfig {
-            // One past the version, so that the empty configuration is told from none.
+            // One past the version: 0 means that the agent has no configuration.
             offset: fold.agent_version() + 1,
             drained: fold.drained.contains(worker),
             paused: fold.accounts.iter().filter(|(_, a)| a.paused).map(|(id, _)| id.clone()).collect(),
@@ -84,14 +86,14 @@
         })
     }
 
-    /// Pushes a new configuration to every agent, so that it is in force before their next beats.
-    pub(super) async fn push_loop(self: Arc<Self>) {
+    /// Sends each new configuration to every agent, so that it is in force before their next heartbeats.
+    pub(super) async fn push_config_loop(self: Arc<Self>) {
         let mut pushed = 0;
         let mut advanced = self.advanced.subscribe();
         loop {
             let changed = tokio::time::timeout(Duration::from_secs(60), advanced.changed()).await;
             if changed.is_err() {
-                lock(&self.fleet).remove_unresponsive(FORGET_AFTER);
+                lock(&self.fleet).remove_unresponsive(REMOVE_AFTER);
                 continue;
             }
             let version = self.with_fold(|fold| fold.agent_version()).unwrap_or_default();
@@ -106,18 +108,20 @@
             for (worker, address) in agents {
                 let Some(config) = self.agent_config(&worker) else { continue };
                 let entry = self.clone();
-                tokio::spawn(async move { entry.push(&worker, &address, config).await });
+                tokio::spawn(async move { entry.push_config(&worker, &address, config).await });
             }
         }
     }
 
-    async fn push(&self, worker: &WorkerId, address: &str, config: AgentConfig) {
+    async fn push_config(&self, worker: &WorkerId, address: &str, config: AgentConfig) {
         let call = self.agents.call(address, |agent| async move {
             agent.configure(call_context(CONFIGURE_TIMEOUT), config).await
         });
         match call.await {
             Ok(offset) => lock(&self.fleet).record_configured(worker, offset),
-            Err(e) => log::debug!("agent at {address} gets the configuration with its next beat: {e}"),
+            Err(e) => log::debug!(
+                "configuration not pushed to agent at {address}, its next heartbeat fetches it: {e}"
+            ),
         }
     }
 }
--- a/crates/daemon/src/entry/short.rs
+++ b/crates/daemon/src/entry/short.rs
@@ -1,4 +1,4 @@
-//! Short requests: routing, limits, retries and the three outcomes.
+//! Short requests: routing, account limits, retries and outcomes.
 
 use std::time::{Duration, Instant};
 
@@ -14,18 +14,18 @@
 use crate::sync::lock;
 
 /// Attempts of one request at most.
-const ATTEMPTS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
-/// When to come back after a refusal, in milliseconds.
-const RETRY_MS: Millis = 500;
+/// Time after which a caller should retry a refused request.
+const RETRY_AFTER_MS: Millis = 500;
 
-/// Margin for the way back to the caller, in milliseconds.
-const RETURN_MS: Millis = 5;
+/// Part of the deadline reserved for sending the answer to the caller.
+const ANSWER_MARGIN_MS: Millis = 5;
 
-/// Longest deadline of a short request, in milliseconds.
-pub const DEADLINE_LIMIT_MS: Millis = 120_000;
+/// Longest deadline of a short request; longer ones are cut to it.
+pub const MAX_DEADLINE_MS: Millis = 120_000;
 
-/// A short request on its way.
+/// A short request that is being executed.
 struct Call<'a> {
     request: &'a str,
     account: &'a AccountId,
@@ -35,29 +35,30 @@
 }
 
 impl Call<'_> {
-    fn left_ms(&self) -> Millis {
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        (left.as_millis() as Millis).saturating_sub(RETURN_MS)
+    /// Returns the time that an agent has for the request.
+    fn remaining_ms(&self) -> Millis {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        (remaining.as_millis() as Millis).saturating_sub(ANSWER_MARGIN_MS)
     }
 }
 
 /// How one attempt ended.
 enum Attempt {
-    /// The agent told the outcome.
-    Told(Outcome),
-    /// The request was never handed over.
+    /// The agent reported the outcome.
+    Answered(Outcome),
+    /// The request was not sent to the agent.
     NotSent,
-    /// The request may have been handed over.
-    Broken(String),
+    /// The request may have been sent; the outcome is unknown, for the reason given.
+    Unresolved(String),
 }
 
 impl Entry {
-    /// Mints a key whose home is one of the ready agents.
+    /// Creates an idempotency key for one of the ready agents, chosen by load; that agent is the key's home.
     pub(super) fn mint_key(&self) -> Option<Key> {
         let fleet = lock(&self.fleet);
         let (workers, candidates): (Vec<_>, Vec<_>) = fleet.candidates(&[]).into_iter().unzip();
-        let at = pick_of_two(&candidates, &mut rand::rng())?;
-        let window = fleet.rows().get(&workers[at])?.report.window.clone();
+        let index = pick_of_two(&candidates, &mut rand::rng())?;
+        let window = fleet.rows().get(&workers[index])?.report.window.clone();
         Some(Key { window, nonce: rand::random() })
     }
 
@@ -69,7 +70,7 @@
         key: Option<Key>,
         body: &RequestBody,
     ) -> Answer {
-        let deadline_ms = body.deadline_ms.min(DEADLINE_LIMIT_MS);
+        let deadline_ms = body.deadline_ms.min(MAX_DEADLINE_MS);
         let call = Call {
             request,
             account,
@@ -77,21 +78,22 @@
             body: body.body.to_string().into_bytes(),
             deadline: Instant::now() + Duration::from_millis(deadline_ms),
         };
-        let outcome = match self.enter_account(account) {
-            Err(reason) => Outcome::NotRun { reason, retry_ms: RETRY_MS },
+        let outcome = match self.begin_account_request(account) {
+            Err(reason) => Outcome::NotRun { reason, retry_ms: RETRY_AFTER_MS },
             Ok(()) => {
                 let outcome = match &call.key {
                     Some(key) => self.run_keyed(&call, key).await,
                     None => self.run_anywhere(&call).await,
                 };
-                self.exit_account(account);
+                self.end_account_request(account);
                 outcome
             }
         };
-        answer(request, outcome)
+        to_answer(request, outcome)
     }
 
-    fn enter_account(&self, account: &AccountId) -> Result<(), NotRun> {
+    /// Counts a request of the account, unless it is paused or at its limit.
+    fn begin_account_request(&self, account: &AccountId) -> Result<(), NotRun> {
         let limits = self.with_fold(|fold| fold.accounts.get(account).map(|a| (a.paused, a.request_limit)));
         let Some(Some((paused, limit))) = limits else { return Err(NotRun::NoUpstream) };
         if paused {
@@ -106,70 +108,72 @@
         Ok(())
     }
 
-    fn exit_account(&self, account: &AccountId) {
+    /// Counts the end of a request of the account.
+    fn end_account_request(&self, account: &AccountId) {
         if let Some(in_flight) = lock(&self.accounts_in_flight).get_mut(account) {
             *in_flight = in_flight.saturating_sub(1);
         }
     }
 
-    /// Runs a non-idempotent request at its key's home and nowhere else.
+    /// Runs a request with a key at the key's home agent, and at no other.
     async fn run_keyed(&self, call: &Call<'_>, key: &Key) -> Outcome {
         let worker = &key.window.worker;
         lock(&self.retries).deposit();
-        for attempt in 0..ATTEMPTS {
+        for attempt in 0..MAX_ATTEMPTS {
             if attempt > 0 && !self.may_retry(call).await {
                 break;
             }
             let home = self.home_address(key);
             let Some(address) = home else { break };
-            match self.try_at(call, worker, &address).await {
-                // The home remembers its outcome under the key, so asking again is safe.
-                Attempt::Told(outcome) => return outcome,
+            match self.send_to(call, worker, &address).await {
+                // The home stores the outcome under the key, so a retry does not run the work again.
+                Attempt::Answered(outcome) => return outcome,
                 Attempt::NotSent => {}
-                Attempt::Broken(e) => {
-                    log::debug!(request = call.request; "home {worker} broke off: {e}");
+                Attempt::Unresolved(e) => {
+                    log::debug!(request = call.request; "call to home {worker} failed: {e}");
                 }
             }
         }
-        // Even if this entry never handed it over, another may have: only the home could deny that.
+        // Another entry may have sent the request even if this one did not: only the home could rule that out.
         Outcome::Unknown { reason: "the key's home does not answer".to_owned() }
     }
 
+    /// Returns the address of the key's home; `None` if it is unknown or has restarted since the key was created.
     fn home_address(&self, key: &Key) -> Option<String> {
         let fleet = lock(&self.fleet);
         let row = fleet.rows().get(&key.window.worker)?;
         (row.incarnation == key.window.incarnation).then(|| row.report.address.clone())
     }
 
-    /// Runs an idempotent request at the better of two agents, and elsewhere if that fails.
+    /// Runs an idempotent request at the better of two random agents, and retries failures at others.
     async fn run_anywhere(&self, call: &Call<'_>) -> Outcome {
         let mut tried: Vec<WorkerId> = Vec::new();
-        let mut last = Outcome::NotRun { reason: NotRun::NoUpstream, retry_ms: RETRY_MS };
+        let mut last = Outcome::NotRun { reason: NotRun::NoUpstream, retry_ms: RETRY_AFTER_MS };
         lock(&self.retries).deposit();
-        for attempt in 0..ATTEMPTS {
+        for attempt in 0..MAX_ATTEMPTS {
             if attempt > 0 && !self.may_retry(call).await {
                 break;
             }
-            let (worker, address) = match self.choose(call, &tried) {
+            let (worker, address) = match self.choose_agent(call, &tried) {
                 Ok(chosen) => chosen,
                 Err(refusal) if attempt == 0 => return refusal,
                 Err(_) => break,
             };
-            let result = self.try_at(call, &worker, &address).await;
+            let result = self.send_to(call, &worker, &address).await;
             tried.push(worker);
             match result {
-                Attempt::Told(outcome @ Outcome::Done { status: ..500, .. }) => return outcome,
-                Attempt::Told(outcome) => last = outcome,
+                Attempt::Answered(outcome @ Outcome::Done { status: ..500, .. }) => return outcome,
+                Attempt::Answered(outcome) => last = outcome,
                 Attempt::NotSent => {}
-                Attempt::Broken(reason) => last = Outcome::Unknown { reason },
+                Attempt::Unresolved(reason) => last = Outcome::Unknown { reason },
             }
         }
         last
     }
 
-    /// Takes a token of the retry budget if there is time left.
+    /// Returns whether time and retry budget allow a retry; takes one token of the budget and waits a random delay.
     async fn may_retry(&self, call: &Call<'_>) -> bool {
-        if call.left_ms() == 0 || !lock(&self.retries).withdraw() {
+        if call.remaining_ms() == 0 || !lock(&self.retries).withdraw() {
             return false;
         }
         self.metrics.retry();
@@ -177,29 +181,31 @@
         true
     }
 
-    fn choose(&self, call: &Call<'_>, tried: &[WorkerId]) -> Result<(WorkerId, String), Outcome> {
+    /// Returns an agent that was not tried and can answer in time, or the refusal.
+    fn choose_agent(&self, call: &Call<'_>, tried: &[WorkerId]) -> Result<(WorkerId, String), Outcome> {
         let fleet = lock(&self.fleet);
         let (workers, candidates): (Vec<_>, Vec<_>) = fleet.candidates(tried).into_iter().unzip();
-        let Some(at) = pick_of_two(&candidates, &mut rand::rng()) else {
-            return Err(Outcome::NotRun { reason: NotRun::NoUpstream, retry_ms: RETRY_MS });
+        let Some(index) = pick_of_two(&candidates, &mut rand::rng()) else {
+            return Err(Outcome::NotRun { reason: NotRun::NoUpstream, retry_ms: RETRY_AFTER_MS });
         };
-        if let Err(retry_ms) = admit(candidates[at].expected_delay_ms(), call.left_ms()) {
+        if let Err(retry_ms) = admit(candidates[index].expected_delay_ms(), call.remaining_ms()) {
             return Err(Outcome::NotRun { reason: NotRun::Deadline, retry_ms });
         }
-        let address = fleet.rows()[&workers[at]].report.address.clone();
-        Ok((workers[at].clone(), address))
+        let address = fleet.rows()[&workers[index]].report.address.clone();
+        Ok((workers[index].clone(), address))
     }
 
-    async fn try_at(&self, call: &Call<'_>, worker: &WorkerId, address: &str) -> Attempt {
-        let left_ms = call.left_ms();
+    /// Sends the request to one agent and records the outcome for ejection.
+    async fn send_to(&self, call: &Call<'_>, worker: &WorkerId, address: &str) -> Attempt {
+        let remaining_ms = call.remaining_ms();
         let exec = Exec {
             request: call.request.to_owned(),
             account: call.account.clone(),
             key: call.key.clone(),
             body: call.body.clone(),
-            remaining_ms: left_ms,
+            remaining_ms: remaining_ms,
         };
-        let timeout = Duration::from_millis(left_ms);
+        let timeout = Duration::from_millis(remaining_ms);
         lock(&self.fleet).begin_request(worker);
         let result = self
             .agents
@@ -209,8 +215,8 @@
         fleet.end_request(worker);
         let attempt = self.read_reply(call, result);
         match &attempt {
-            Attempt::Told(Outcome::Done { status, .. }) => fleet.record_outcome(worker, *status < 500),
-            Attempt::Told(Outcome::NotRun { .. }) => {}
+            Attempt::Answered(Outcome::Done { status, .. }) => fleet.record_outcome(worker, *status < 500),
+            Attempt::Answered(Outcome::NotRun { .. }) => {}
             _ => fleet.record_outcome(worker, false),
         }
         attempt
@@ -218,22 +224,23 @@
 
     fn read_reply(&self, call: &Call<'_>, result: Result<ExecReply, CallError>) -> Attempt {
         match result {
-            Ok(reply) if reply.request == call.request => Attempt::Told(reply.outcome),
+            Ok(reply) if reply.request == call.request => Attempt::Answered(reply.outcome),
             Ok(reply) => {
                 self.metrics.mismatched();
-                log::error!(request = call.request; "an agent answered request {}", reply.request);
-                Attempt::Broken("the answer was another request's".to_owned())
+                log::error!(request = call.request; "agent answered a different request: {}", reply.request);
+                Attempt::Unresolved("the agent answered a different request".to_owned())
             }
             Err(CallError::Connect(e)) => {
-                log::debug!(request = call.request; "request is not handed over: {e}");
+                log::debug!(request = call.request; "request was not sent: {e}");
                 Attempt::NotSent
             }
-            Err(e) => Attempt::Broken(e.to_string()),
+            Err(e) => Attempt::Unresolved(e.to_string()),
         }
     }
 }
 
-fn answer(request: &str, outcome: Outcome) -> Answer {
+/// Returns the answer to the caller; an upstream body that is not JSON becomes a string.
+fn to_answer(request: &str, outcome: Outcome) -> Answer {
     let request = request.to_owned();
     match outcome {
         Outcome::Done { status, body } => {
