--- a/crates/daemon/src/entry/api.rs
+++ b/crates/daemon/src/entry/api.rs
@@ -84,7 +84,7 @@
     let entry = cx.context();
     entry.keys.account(&cx)?;
     let _open = OpenRequest::new(entry)?;
-    let key = entry.mint_key().ok_or_else(|| {
+    let key = entry.create_key().ok_or_else(|| {
         ApiError::new(503, "no_upstream", "no agent is ready").with_retry_after_ms(RETRY_MS)
     })?;
     Ok(HttpResponseOk(KeyAnswer { key: key.to_string() }))
@@ -344,7 +344,7 @@
         respond(status, not_run.then_some(RETRY_MS), &answer)
     }
 
-    /// Removes an attached job unless an attempt has reserved its workers; returns whether it did not run.
+    /// Removes an attached job unless an attempt has reserved its workers; returns whether it is removed.
     fn withdraw(&self, id: &JobId) -> bool {
         let mut table = lock(&self.attached);
         let is_waiting = table.get(id).is_none_or(Attached::is_waiting);
@@ -387,7 +387,7 @@
     respond(status, None, &answer)
 }
 
-/// Returns the metrics in Prometheus text format; they contain account names, hence an operator key is required.
+/// Returns the metrics in Prometheus text format; an operator key is required as they contain account names.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn get_metrics(cx: Cx) -> Result<Response<Body>> {
     let entry = cx.context();
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -123,7 +123,7 @@
             return;
         }
         if !self.record_placed(&gang, placement).await {
-            log::warn!(job = job.as_str(); "epoch {} was not recorded on the log; stopping the attempt", gang.epoch);
+            log::warn!(job = job.as_str(); "epoch {} was not recorded; stopping the attempt", gang.epoch);
             self.stop_all(&gang).await;
             return;
         }
@@ -326,8 +326,8 @@
         }
     }
 
-    /// Returns the time without a reply of the commit point after which the gang has stopped, or another member may
-    /// know how it ended.
+    /// Returns the time without a reply of the commit point after which the gang has stopped, or another member
+    /// may know how it ended.
     fn reply_timeout(&self, gang: &Gang<'_>) -> Duration {
         if gang.members.len() > 1 {
             return self.settings.agent.lease * LEASES_UNTIL_STOPPED;
@@ -404,7 +404,7 @@
         futures::future::join_all(stops).await.into_iter().flatten().collect()
     }
 
-    /// Reports how the attempt ended: on the log, retrying while it is down, or to the caller of an attached job.
+    /// Records the end of the attempt on the log, retrying while it is down, or reports it to the attached caller.
     async fn record_end(&self, gang: &Gang<'_>, spec: &JobSpec, end: End) {
         self.record_member_outcomes(gang, &end);
         let attempts = lock(&self.epochs).attempts(gang.job);
--- a/crates/daemon/src/entry/fleet.rs
+++ b/crates/daemon/src/entry/fleet.rs
@@ -74,7 +74,7 @@
         &self.rows
     }
 
-    /// Returns the heartbeat interval of each agent at which all agents together stay within the bandwidth budget.
+    /// Returns the heartbeat interval at which all agents together stay within the bandwidth budget.
     pub fn heartbeat_interval_ms(&self) -> u64 {
         let agents = self.rows.len() as u64;
         (agents * HEARTBEAT_BYTES * 1_000 / HEARTBEAT_BUDGET_BYTES_PER_S).max(MIN_HEARTBEAT_INTERVAL_MS)
--- a/crates/daemon/src/entry/follow.rs
+++ b/crates/daemon/src/entry/follow.rs
@@ -1,4 +1,4 @@
-//! Reading the log: keeps the fold up to date, writes snapshots, and fetches the fold of a peer while the log is down.
+//! Reads the log into the fold, writes snapshots, and fetches the fold of a peer while the log is down.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -101,7 +101,7 @@
         self.wake.notify_one();
     }
 
-    /// Writes a snapshot if enough records follow the last one and this entry is the first of the responsive ones.
+    /// Writes a snapshot if enough records follow the last one and this entry is the first responsive one.
     fn snapshot_if_due(self: &Arc<Self>) {
         let due = self.with_fold(|fold| {
             let records = fold.next_offset.saturating_sub(fold.snapshot_offset);
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: serves callers and operators and decides placement; its state can be rebuilt from the log and the agents.
+//! The entry: serves callers and operators, and decides placement on state that it can lose and rebuild.
 
 mod answer;
 mod api;
@@ -133,7 +133,7 @@
         });
         let server = api::start(entry.clone())?;
         let http_address = server.local_addr().to_string();
-        log::info!("entry {} listening on {http_address} (HTTP) and {} (RPC)", entry.claimant, entry.address);
+        log::info!("entry {} listens on {http_address} (HTTP) and {} (RPC)", entry.claimant, entry.address);
         *lock(&entry.http_address) = http_address;
         *lock(&entry.http) = Some(server);
         Ok(entry)
@@ -164,7 +164,7 @@
         tasks.spawn(self.clone().push_config_loop());
         self.stop.raised().await;
         self.shut_down().await;
-        log::info!("entry {} stopped", self.claimant);
+        log::info!("entry {} has stopped", self.claimant);
     }
 
     /// Waits for open requests, notifies the other entries, and closes the HTTP server within the drain time.
--- a/crates/daemon/src/entry/operator.rs
+++ b/crates/daemon/src/entry/operator.rs
@@ -169,7 +169,7 @@
 }
 
 impl Entry {
-    /// Records a command unless it is recorded already, and returns its result once it is in force or a time-out ends.
+    /// Records a command unless it is recorded already, waits for it to be in force, and returns its result.
     pub(super) async fn send_command(
         &self,
         operator: &str,
--- a/crates/daemon/src/entry/plan.rs
+++ b/crates/daemon/src/entry/plan.rs
@@ -18,7 +18,7 @@
 /// Interval between checks whether the plan still fits.
 const PLAN_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Consecutive checks with the same proposal before backing moves: a worker may only be unresponsive for a moment.
+/// Consecutive checks with the same proposal before backing moves: a worker may be unresponsive only briefly.
 const MIN_STABLE_CHECKS: u32 = 3;
 
 /// Time after the start within which some workers may not have sent a heartbeat yet.
--- a/crates/daemon/src/entry/schedule.rs
+++ b/crates/daemon/src/entry/schedule.rs
@@ -14,7 +14,7 @@
 use crate::entry::{Entry, unix_ms};
 use crate::sync::lock;
 
-/// Delay before a job is tried again after an attempt, such as one that found too few free resources at the agents.
+/// Delay after an attempt before the job is tried again, for instance when agents had too few free resources.
 const RETRY_DELAY_MS: Millis = 250;
 
 /// Start objective of urgent jobs.
@@ -187,7 +187,7 @@
         waiting.map(candidate).collect()
     }
 
-    /// Returns the scheduler's tables without waiting jobs: workers, accounts, plan, and running or starting jobs.
+    /// Returns the scheduler's tables without waiting jobs: workers, accounts, plan, running and starting jobs.
     pub(super) fn tables(&self, now_ms: Millis) -> Tables {
         let mut tables = Tables::new();
         {
--- a/crates/daemon/src/entry/short.rs
+++ b/crates/daemon/src/entry/short.rs
@@ -54,7 +54,7 @@
 
 impl Entry {
     /// Creates an idempotency key for one of the ready agents, chosen by load; that agent is the key's home.
-    pub(super) fn mint_key(&self) -> Option<Key> {
+    pub(super) fn create_key(&self) -> Option<Key> {
         let fleet = lock(&self.fleet);
         let (workers, candidates): (Vec<_>, Vec<_>) = fleet.candidates(&[]).into_iter().unzip();
         let index = pick_of_two(&candidates, &mut rand::rng())?;
@@ -134,7 +134,7 @@
                 }
             }
         }
-        // Another entry may have sent the request even if this one did not: only the home could rule that out.
+        // Another entry may have sent the request even if this one did not: only the home knows.
         Outcome::Unknown { reason: "the key's home does not answer".to_owned() }
     }
 
@@ -171,7 +171,9 @@
         last
     }
 
-    /// Returns whether time and retry budget allow a retry; takes one token of the budget and waits a random delay.
+    /// Returns whether time and retry budget allow a retry.
+    ///
+    /// If so, it has taken a token of the budget and waited for a random delay.
     async fn may_retry(&self, call: &Call<'_>) -> bool {
         if call.remaining_ms() == 0 || !lock(&self.retries).withdraw() {
             return false;
@@ -197,15 +199,15 @@
 
     /// Sends the request to one agent and records the outcome for ejection.
     async fn send_to(&self, call: &Call<'_>, worker: &WorkerId, address: &str) -> Attempt {
-        let remaining_ms = call.remaining_ms();
+        let timeout_ms = call.remaining_ms();
         let exec = Exec {
             request: call.request.to_owned(),
             account: call.account.clone(),
             key: call.key.clone(),
             body: call.body.clone(),
-            remaining_ms: remaining_ms,
+            remaining_ms: timeout_ms,
         };
-        let timeout = Duration::from_millis(remaining_ms);
+        let timeout = Duration::from_millis(timeout_ms);
         lock(&self.fleet).begin_request(worker);
         let result = self
             .agents
