--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: takes callers and operators, and decides placement over state that it can lose.
+//! The entry: serves callers and operators, and decides placement on state that it can lose and rebuild.
 
 mod answer;
 mod api;
@@ -40,7 +40,7 @@
 use crate::Result;
 use crate::entry::attempt::Attached;
 use crate::entry::auth::Keys;
-use crate::entry::burn::Burn;
+use crate::entry::burn::BurnCounts;
 use crate::entry::epochs::Epochs;
 use crate::entry::fleet::Fleet;
 use crate::entry::peers::Peers;
@@ -50,33 +50,35 @@
 use crate::stop::Stop;
 use crate::sync::lock;
 
-/// What an entry knows of the log.
+/// State folded from the log.
 struct Ledger {
     fold: Fold,
-    /// Whether any fold was ever read.
-    known: bool,
+    /// Whether a fold was ever read, from the log or a peer.
+    loaded: bool,
     /// When the log last confirmed that the fold is complete.
-    confirmed: Option<Instant>,
+    confirmed_at: Option<Instant>,
 }
 
 /// An entry process.
 pub struct Entry {
     settings: Settings,
-    /// Name and life, as claims carry it.
+    /// Name and incarnation of the entry, as its claims on the log carry them.
     claimant: String,
     address: String,
     keys: Keys,
     ledger: Mutex<Ledger>,
+    /// Next offset of the fold; signals that the fold has advanced.
     advanced: watch::Sender<u64>,
     fleet: Mutex<Fleet>,
     peers: Mutex<Peers>,
     scheduler: Mutex<Scheduler>,
+    /// State of the jobs that tasks of this process drive.
     drivers: Mutex<BTreeMap<JobId, schedule::Driver>>,
     epochs: Mutex<Epochs>,
     attached: Mutex<BTreeMap<JobId, Attached>>,
     accounts_in_flight: Mutex<BTreeMap<AccountId, u32>>,
     retries: Mutex<RetryBudget>,
-    burn: Mutex<Burn>,
+    burn: Mutex<BurnCounts>,
     open_requests: AtomicU32,
     agents: Pool<AgentRpcClient>,
     entries: Pool<EntryRpcClient>,
@@ -91,7 +93,7 @@
 }
 
 impl Entry {
-    /// Binds the addresses.
+    /// Creates an entry and binds its addresses.
     ///
     /// # Errors
     ///
@@ -104,7 +106,7 @@
         let entry = Arc::new(Self {
             claimant: format!("{}#{incarnation:08x}", settings.daemon.name),
             keys: Keys::new(&settings.account_keys, &settings.operator_keys),
-            ledger: Mutex::new(Ledger { fold: Fold::new(), known: false, confirmed: None }),
+            ledger: Mutex::new(Ledger { fold: Fold::new(), loaded: false, confirmed_at: None }),
             advanced: watch::Sender::new(0),
             fleet: Mutex::new(Fleet::new(&settings.daemon.domain)),
             peers: Mutex::new(Peers::new(&settings.entry.peers)),
@@ -114,7 +116,7 @@
             attached: Mutex::default(),
             accounts_in_flight: Mutex::default(),
             retries: Mutex::new(RetryBudget::new()),
-            burn: Mutex::new(Burn::new()),
+            burn: Mutex::new(BurnCounts::new()),
             open_requests: AtomicU32::new(0),
             agents: Pool::new(&settings.daemon.process_key),
             entries: Pool::new(&settings.daemon.process_key),
@@ -131,23 +133,23 @@
         });
         let server = api::start(entry.clone())?;
         let http_address = server.local_addr().to_string();
-        log::info!("entry {} listens on {http_address} and {}", entry.claimant, entry.address);
+        log::info!("entry {} listens on {http_address} (HTTP) and {} (RPC)", entry.claimant, entry.address);
         *lock(&entry.http_address) = http_address;
         *lock(&entry.http) = Some(server);
         Ok(entry)
     }
 
-    /// Returns the address for callers and operators.
+    /// Returns the HTTP address for callers and operators.
     pub fn http_address(&self) -> String {
         lock(&self.http_address).clone()
     }
 
-    /// Returns the address for the other processes.
+    /// Returns the RPC address for agents and other entries.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Runs until asked to stop, then finishes what is in flight.
+    /// Runs until asked to stop, then drains the open requests.
     pub async fn run(self: Arc<Self>) {
         let mut tasks = JoinSet::new();
         if let Some(listener) = lock(&self.listener).take() {
@@ -159,24 +161,25 @@
         tasks.spawn(self.clone().peer_loop());
         tasks.spawn(self.clone().schedule_loop());
         tasks.spawn(self.clone().plan_loop());
-        tasks.spawn(self.clone().push_loop());
+        tasks.spawn(self.clone().push_config_loop());
         self.stop.raised().await;
-        self.leave().await;
+        self.shut_down().await;
         log::info!("entry {} has stopped", self.claimant);
     }
 
-    /// Refuses new work, tells the others, and waits for what is in flight.
-    async fn leave(&self) {
-        log::info!("entry {} leaves: it takes nothing new", self.claimant);
+    /// Waits for open requests, notifies the other entries, and closes the HTTP server within the drain time.
+    async fn shut_down(&self) {
+        log::info!("entry {} is draining and refuses new requests", self.claimant);
         let deadline = Instant::now() + self.settings.daemon.drain;
         while Instant::now() < deadline && self.open_requests.load(Ordering::Relaxed) > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.tell_leaving().await;
+        self.notify_leaving().await;
         let server = lock(&self.http).take();
         if let Some(server) = server {
-            let left = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(500));
-            match tokio::time::timeout(left, server.close()).await {
+            let remaining =
+                deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(500));
+            match tokio::time::timeout(remaining, server.close()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(e)) => log::warn!("HTTP server did not close: {e}"),
                 Err(_) => log::warn!("HTTP connections were still open at the end of the drain"),
@@ -184,37 +187,37 @@
         }
     }
 
-    /// Tells this entry's address on the log once, and again after it changed hands.
+    /// Records this entry's address on the log, and again whenever the log has another address for its name.
     async fn announce_loop(self: Arc<Self>) {
         let name = self.settings.daemon.name.clone();
         loop {
             let announced = {
                 let ledger = lock(&self.ledger);
-                ledger.known && ledger.fold.entries.get(&name) == Some(&self.address)
+                ledger.loaded && ledger.fold.entries.get(&name) == Some(&self.address)
             };
             if !announced {
                 let record = Record::Entry { name: name.clone(), address: self.address.clone() };
                 if let Err(e) = self.write(vec![record]).await {
-                    log::debug!("address is not announced yet: {e}");
+                    log::debug!("entry address not recorded yet: {e}");
                 }
             }
             tokio::time::sleep(Duration::from_secs(2)).await;
         }
     }
 
-    /// Runs `read` on the fold, if one is known.
+    /// Runs `read` on the fold; returns `None` if no fold was loaded yet.
     fn with_fold<T>(&self, read: impl FnOnce(&Fold) -> T) -> Option<T> {
         let ledger = lock(&self.ledger);
-        ledger.known.then(|| read(&ledger.fold))
+        ledger.loaded.then(|| read(&ledger.fold))
     }
 
-    /// Returns how long ago the log confirmed that the fold is complete, in milliseconds.
+    /// Returns the time since the log last confirmed that the fold is complete; `None` if it never did.
     fn config_age_ms(&self) -> Option<Millis> {
-        lock(&self.ledger).confirmed.map(|at| at.elapsed().as_millis() as Millis)
+        lock(&self.ledger).confirmed_at.map(|at| at.elapsed().as_millis() as Millis)
     }
 
-    /// Returns the names of jobs that a driver of this process looks after.
-    fn driven(&self) -> BTreeSet<JobId> {
+    /// Returns the jobs that a task of this process drives, or that wait for a retry.
+    fn driven_jobs(&self) -> BTreeSet<JobId> {
         lock(&self.drivers).keys().cloned().collect()
     }
 }
@@ -226,7 +229,7 @@
     }
 }
 
-/// Returns milliseconds since 1970 by the wall clock; only ages and logs depend on it.
-fn wall_ms() -> Millis {
+/// Returns milliseconds since 1970 by the wall clock; used only for ages, delays and recorded times.
+fn unix_ms() -> Millis {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as Millis)
 }
