--- a/crates/daemon/src/agent/authority.rs
+++ b/crates/daemon/src/agent/authority.rs
@@ -1,4 +1,4 @@
-//! The agent's authority over its worker: what is granted, to whom, and who yields.
+//! Decisions of the agent: which gangs hold the worker's resources, and which must yield.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +11,21 @@
 use sorrelland_lease::{CommitPoint, Epoch, Member, RenewalReply};
 use sorrelland_wire::agent::{AgentConfig, GangStatus, Renew, Reserve, ReserveReply};
 
-/// Time for which what is known about an ended gang is kept, in milliseconds.
-pub const ENDED_KEPT_MS: Millis = 6 * 60 * 60 * 1_000;
+/// Time after its last use for which the record of a job without a grant is kept.
+pub const RECORD_RETENTION_MS: Millis = 6 * 60 * 60 * 1_000;
 
-/// Time after the grace for which vacated room is kept for who asked for it, in milliseconds.
-const PROMISE_MARGIN_MS: Millis = 3_000;
+/// Time after the grace period for which the freed resources stay set aside for the pending reservation.
+const PENDING_MARGIN_MS: Millis = 3_000;
 
-/// A gang's share of the worker.
+/// Resources of the worker that a gang holds.
 #[derive(Clone, Debug)]
 pub struct Grant {
-    /// What was asked for.
+    /// Reservation call that was granted.
     pub reserve: Reserve,
-    /// When the hold began.
-    pub since_ms: Millis,
-    /// When the next renewal is due.
-    pub renew_ms: Millis,
-    /// When the gang has to be gone, if it was asked to yield.
-    pub yield_ms: Option<Millis>,
+    pub held_since_ms: Millis,
+    pub renewal_due_ms: Millis,
+    /// Time at which the grace period of the gang ends, if it was asked to yield.
+    pub yield_deadline_ms: Option<Millis>,
     /// Why its tasks failed, if they did.
     pub failed: Option<String>,
     /// Whether the worker confirmed the start of every task.
@@ -35,91 +33,87 @@
 }
 
 impl Grant {
-    /// Returns the resources held.
     pub fn held(&self) -> Amount {
         self.reserve.per_task.times(self.reserve.tasks)
     }
 
-    /// Returns the names of its tasks on the worker.
+    /// Returns the names of the gang's tasks on the worker.
     pub fn tasks(&self) -> Vec<String> {
-        let name = |at| format!("{}~{}~{at}", self.reserve.job, self.reserve.epoch);
+        let name = |index| format!("{}~{}~{index}", self.reserve.job, self.reserve.epoch);
         (0..self.reserve.tasks).map(name).collect()
     }
 }
 
-/// What is remembered about a gang that is not on the worker any more.
+/// State of a job that is kept after its gang has left the worker.
 #[derive(Clone, Debug, Default)]
-pub struct Remembered {
-    /// Run time that a checkpoint kept, in milliseconds.
+pub struct JobRecord {
+    /// Run time preserved by a checkpoint.
     pub done_ms: Millis,
-    /// Why it failed.
+    /// Why the gang failed, if it did.
     pub failed: Option<String>,
-    /// Time without a word of the claimant after which the gang stops, in milliseconds.
+    /// Time without a call from the claimant after which the gang stops.
     pub claim_lease_ms: Millis,
-    /// Last word of the claimant.
-    pub claimant_ms: Millis,
-    /// Last change.
-    pub touched_ms: Millis,
+    /// Time of the claimant's last call.
+    pub last_claimant_call_ms: Millis,
+    /// Time of the last change or call of the claimant, from which the retention counts.
+    pub last_use_ms: Millis,
 }
 
+/// Reservation for which other gangs are yielding, with the resources set aside for it.
 #[derive(Clone, Copy, Debug)]
-struct Promise {
+struct PendingReservation {
     epoch: Epoch,
     amount: Amount,
-    until_ms: Millis,
+    expires_ms: Millis,
 }
 
-/// What the agent alone decides.
+/// Grants, fences and configuration of one worker.
 #[derive(Debug)]
 pub struct Authority {
-    /// Name of the worker.
     pub worker: WorkerId,
-    /// Resources of the worker.
     pub capacity: Amount,
-    /// Holds and fences.
     pub member: Member,
-    /// Gangs that commit here.
-    pub commit: CommitPoint,
+    /// Gangs whose commit point is this agent.
+    pub commit_point: CommitPoint,
     /// Gangs on the worker.
     pub grants: BTreeMap<JobId, Grant>,
-    /// Gangs that are known but not on the worker, and those that commit here.
-    pub remembered: BTreeMap<JobId, Remembered>,
-    /// Configuration in force.
+    /// Records of all jobs that have a grant, or had one within the retention time.
+    pub jobs: BTreeMap<JobId, JobRecord>,
     pub config: Option<AgentConfig>,
-    /// Whether the process is leaving.
-    pub leaving: bool,
-    /// Number of the newest report.
+    /// Whether the process is stopping and accepts no new work.
+    pub stopping: bool,
+    /// Number of the latest report to the entries; every change that they must see increments it.
     pub report_number: u64,
-    promises: BTreeMap<JobId, Promise>,
+    pending: BTreeMap<JobId, PendingReservation>,
     lease_ms: Millis,
     grace_ms: Millis,
 }
 
 impl Authority {
-    /// Creates the authority of an agent that has just started.
+    /// Creates the state of an agent that has just started, with no grants, fences or configuration.
     pub fn new(worker: &WorkerId, capacity: Amount, lease_ms: Millis, grace_ms: Millis) -> Self {
         Self {
             worker: worker.clone(),
             capacity,
             member: Member::new(),
-            commit: CommitPoint::new(lease_ms),
+            commit_point: CommitPoint::new(lease_ms),
             grants: BTreeMap::new(),
-            remembered: BTreeMap::new(),
+            jobs: BTreeMap::new(),
             config: None,
-            leaving: false,
+            stopping: false,
             report_number: 1,
-            promises: BTreeMap::new(),
+            pending: BTreeMap::new(),
             lease_ms,
             grace_ms,
         }
     }
 
-    /// Returns whether nothing new is taken.
+    /// Returns whether new work is refused.
     pub fn is_draining(&self) -> bool {
-        self.leaving || self.config.as_ref().is_some_and(|config| config.drained)
+        self.stopping || self.config.as_ref().is_some_and(|config| config.drained)
     }
 
-    /// Puts a configuration in force unless a newer one is; returns the offset in force.
+    /// Applies a configuration unless the current one is as new; returns the offset in force.
     pub fn configure(&mut self, config: AgentConfig) -> u64 {
         let current = self.config.as_ref().map(|c| c.offset);
         if current.is_none_or(|offset| offset < config.offset) {
@@ -129,57 +123,61 @@
         self.config.as_ref().map_or(0, |c| c.offset)
     }
 
-    /// Decides on a reservation; returns the jobs that were asked to yield by it.
+    /// Grants, defers or refuses a reservation; returns the jobs that must yield to it.
     pub fn reserve(&mut self, r: &Reserve, now_ms: Millis) -> (ReserveReply, Vec<JobId>) {
-        let refused = |reply| (reply, Vec::new());
+        let without_yielding = |reply| (reply, Vec::new());
         if self.grants.get(&r.job).is_some_and(|grant| grant.reserve.epoch == r.epoch) {
-            return refused(ReserveReply::Held);
+            return without_yielding(ReserveReply::Held);
         }
         if self.config.is_none() {
-            return refused(ReserveReply::NoConfig);
+            return without_yielding(ReserveReply::NoConfig);
         }
         if self.is_draining() {
-            return refused(ReserveReply::Draining);
+            return without_yielding(ReserveReply::Draining);
         }
-        let need = r.per_task.times(r.tasks);
+        let required = r.per_task.times(r.tasks);
         let shares = self.shares();
         let backing_use = self.backing_use(&shares);
         let free = self.free_for(&r.job, now_ms);
-        if backing_use.allocatable(&r.account, r.preemptible, self.capacity, free).covers(need) {
-            return refused(self.hold(r, now_ms));
+        if backing_use.allocatable(&r.account, r.preemptible, self.capacity, free).covers(required) {
+            return without_yielding(self.create_grant(r, now_ms));
         }
-        let own = backing_use.unused_backing(&r.account).covers(need);
-        let cause = if own { Some(Cause::Guarantee) } else { r.cause.filter(|c| *c != Cause::Guarantee) };
-        let Some(cause) = cause else { return refused(ReserveReply::Busy { free }) };
-        let reach = backing_use.allocatable(&r.account, r.preemptible, self.capacity, self.capacity);
-        if !own && !reach.covers(need) {
-            return refused(ReserveReply::Busy { free });
+        let within_own_backing = backing_use.unused_backing(&r.account).covers(required);
+        let cause = if within_own_backing {
+            Some(Cause::Guarantee)
+        } else {
+            r.cause.filter(|c| *c != Cause::Guarantee)
+        };
+        let Some(cause) = cause else { return without_yielding(ReserveReply::Busy { free }) };
+        let reclaimable = backing_use.allocatable(&r.account, r.preemptible, self.capacity, self.capacity);
+        if !within_own_backing && !reclaimable.covers(required) {
+            return without_yielding(ReserveReply::Busy { free });
         }
-        self.make_room(r, cause, &shares, &backing_use, now_ms)
+        self.request_yield(r, cause, &shares, &backing_use, now_ms)
     }
 
-    fn hold(&mut self, r: &Reserve, now_ms: Millis) -> ReserveReply {
+    fn create_grant(&mut self, r: &Reserve, now_ms: Millis) -> ReserveReply {
         let lease_end_ms = now_ms + self.lease_ms;
         if let Err(refusal) = self.member.reserve(&r.job, r.epoch, &r.commit_point, lease_end_ms) {
             return ReserveReply::Refused(refusal);
         }
-        self.promises.remove(&r.job);
+        self.pending.remove(&r.job);
         if r.commit_point == self.worker {
-            self.commit.open(&r.job, r.epoch, r.members.iter().map(|m| m.worker.clone()), now_ms);
+            self.commit_point.open(&r.job, r.epoch, r.members.iter().map(|m| m.worker.clone()), now_ms);
         }
-        let remembered = Remembered {
+        let record = JobRecord {
             done_ms: r.done_ms,
             claim_lease_ms: r.claim_lease_ms,
-            claimant_ms: now_ms,
-            touched_ms: now_ms,
-            ..Remembered::default()
+            last_claimant_call_ms: now_ms,
+            last_use_ms: now_ms,
+            ..JobRecord::default()
         };
-        self.remembered.insert(r.job.clone(), remembered);
+        self.jobs.insert(r.job.clone(), record);
         let grant = Grant {
             reserve: r.clone(),
-            since_ms: now_ms,
-            renew_ms: now_ms,
-            yield_ms: None,
+            held_since_ms: now_ms,
+            renewal_due_ms: now_ms,
+            yield_deadline_ms: None,
             failed: None,
             started: false,
         };
@@ -188,8 +186,8 @@
         ReserveReply::Held
     }
 
-    /// Asks others to yield for a reservation and promises it the room.
-    fn make_room(
+    /// Chooses gangs that yield to a reservation, and sets the resources aside for it.
+    fn request_yield(
         &mut self,
         r: &Reserve,
         cause: Cause,
@@ -197,21 +195,23 @@
         backing_use: &BackingUse,
         now_ms: Millis,
     ) -> (ReserveReply, Vec<JobId>) {
-        let need = r.per_task.times(r.tasks);
-        let staying: Vec<Share> =
-            shares.iter().filter(|s| self.grants[&s.job].yield_ms.is_none()).cloned().collect();
-        let mut vacated = self.capacity;
-        for share in &staying {
-            vacated -= share.held;
+        let required = r.per_task.times(r.tasks);
+        let not_yielding: Vec<Share> =
+            shares.iter().filter(|s| self.grants[&s.job].yield_deadline_ms.is_none()).cloned().collect();
+        let mut free_after_yield = self.capacity;
+        for share in &not_yielding {
+            free_after_yield -= share.held;
         }
-        for (job, promise) in &self.promises {
-            if *job != r.job && promise.until_ms > now_ms {
-                vacated -= promise.amount;
+        for (job, reservation) in &self.pending {
+            if *job != r.job && reservation.expires_ms > now_ms {
+                free_after_yield -= reservation.amount;
             }
         }
-        let candidates: Vec<Share> =
-            staying.into_iter().filter(|s| cause == Cause::Guarantee || s.class < Class::Urgent).collect();
-        let Some(yielding) = select_victims(&candidates, backing_use, vacated, need) else {
+        let candidates: Vec<Share> = not_yielding
+            .into_iter()
+            .filter(|s| cause == Cause::Guarantee || s.class < Class::Urgent)
+            .collect();
+        let Some(yielding) = select_victims(&candidates, backing_use, free_after_yield, required) else {
             return (ReserveReply::Busy { free: self.free_for(&r.job, now_ms) }, Vec::new());
         };
         let grace_ms = match cause {
@@ -219,39 +219,40 @@
             _ if r.class == Class::Urgent => URGENT_GRACE_MS.min(self.grace_ms),
             _ => self.grace_ms,
         };
-        let until_ms = now_ms + grace_ms + PROMISE_MARGIN_MS;
-        self.promises.insert(r.job.clone(), Promise { epoch: r.epoch, amount: need, until_ms });
+        let expires_ms = now_ms + grace_ms + PENDING_MARGIN_MS;
+        self.pending
+            .insert(r.job.clone(), PendingReservation { epoch: r.epoch, amount: required, expires_ms });
         for job in &yielding {
             if let Some(grant) = self.grants.get_mut(job) {
-                grant.yield_ms = Some(now_ms + grace_ms);
+                grant.yield_deadline_ms = Some(now_ms + grace_ms);
             }
         }
         (ReserveReply::Yielding { within_ms: grace_ms }, yielding)
     }
 
-    /// Answers a member's renewal at this commit point.
+    /// Records a member's renewal at this commit point; a failed member stops the gang.
     pub fn renew(&mut self, renew: &Renew, now_ms: Millis) -> RenewalReply {
         if let Some(reason) = &renew.failed {
-            self.commit.stop(&renew.job, renew.epoch);
-            if let Some(remembered) = self.remembered.get_mut(&renew.job) {
-                remembered.failed.get_or_insert_with(|| reason.clone());
+            self.commit_point.stop(&renew.job, renew.epoch);
+            if let Some(record) = self.jobs.get_mut(&renew.job) {
+                record.failed.get_or_insert_with(|| reason.clone());
             }
         }
-        self.commit.renew(&renew.job, renew.epoch, &renew.member, renew.finished, now_ms)
+        self.commit_point.renew(&renew.job, renew.epoch, &renew.member, renew.finished, now_ms)
     }
 
-    /// Fences an epoch here; returns the grant whose tasks have to be stopped.
+    /// Fences an epoch and all older ones; returns the grant whose tasks must be stopped.
     pub fn fence(&mut self, job: &JobId, epoch: Epoch) -> Option<Grant> {
-        self.commit.stop(job, epoch);
-        if self.promises.get(job).is_some_and(|promise| promise.epoch <= epoch) {
-            self.promises.remove(job);
+        self.commit_point.stop(job, epoch);
+        if self.pending.get(job).is_some_and(|reservation| reservation.epoch <= epoch) {
+            self.pending.remove(job);
         }
         self.member.fence(job, epoch)?;
         self.report_number += 1;
         self.grants.remove(job)
     }
 
-    /// Frees the room of a gang whose tasks all ended and whose commit point knows.
+    /// Frees the resources of a gang after its commit point has acknowledged the end of its tasks.
     pub fn release(&mut self, job: &JobId, epoch: Epoch) {
         self.member.fence(job, epoch);
         if self.grants.remove(job).is_some() {
@@ -259,55 +260,55 @@
         }
     }
 
-    /// Records what a checkpoint kept.
-    pub fn keep(&mut self, job: &JobId, done_ms: Millis, now_ms: Millis) {
-        let remembered = self.remembered.entry(job.clone()).or_default();
-        remembered.done_ms = remembered.done_ms.max(done_ms);
-        remembered.touched_ms = now_ms;
+    /// Records the run time that a checkpoint preserved; a smaller value than the recorded one is ignored.
+    pub fn record_checkpoint(&mut self, job: &JobId, done_ms: Millis, now_ms: Millis) {
+        let record = self.jobs.entry(job.clone()).or_default();
+        record.done_ms = record.done_ms.max(done_ms);
+        record.last_use_ms = now_ms;
     }
 
-    /// Records a word of the claimant and returns what is known about a job.
+    /// Records a call from the claimant, which renews its lease on the job, and returns the job's state.
     pub fn status(&mut self, job: &JobId, now_ms: Millis) -> GangStatus {
-        if let Some(remembered) = self.remembered.get_mut(job) {
-            remembered.claimant_ms = now_ms;
-            remembered.touched_ms = now_ms;
+        if let Some(record) = self.jobs.get_mut(job) {
+            record.last_claimant_call_ms = now_ms;
+            record.last_use_ms = now_ms;
         }
-        let remembered = self.remembered.get(job);
+        let record = self.jobs.get(job);
         GangStatus {
-            gang: self.commit.state(job),
-            ever_committed: self.commit.ever_committed(job),
-            failed: remembered.and_then(|r| r.failed.clone()),
+            gang: self.commit_point.state(job),
+            ever_committed: self.commit_point.ever_committed(job),
+            failed: record.and_then(|r| r.failed.clone()),
             hold: self.member.holds().get(job).map(|hold| (hold.epoch, hold.phase)),
             min_unfenced_epoch: self.member.min_allowed_epoch(job),
-            done_ms: remembered.map_or(0, |r| r.done_ms),
+            done_ms: record.map_or(0, |r| r.done_ms),
         }
     }
 
-    /// Ends what time has ended: lapsed holds, gangs with lapsed members, gangs without a claimant.
+    /// Stops gangs with an expired member or claimant lease; removes expired holds and returns their grants.
     pub fn expire(&mut self, now_ms: Millis) -> Vec<Grant> {
-        self.commit.expire(now_ms);
-        for (job, remembered) in &self.remembered {
-            if let Some((epoch, _)) = self.commit.state(job)
-                && now_ms >= remembered.claimant_ms + remembered.claim_lease_ms
+        self.commit_point.expire(now_ms);
+        for (job, record) in &self.jobs {
+            if let Some((epoch, _)) = self.commit_point.state(job)
+                && now_ms >= record.last_claimant_call_ms + record.claim_lease_ms
             {
-                self.commit.stop(job, epoch);
+                self.commit_point.stop(job, epoch);
             }
         }
-        self.promises.retain(|_, promise| promise.until_ms > now_ms);
-        let lapsed = self.member.expire(now_ms);
-        if !lapsed.is_empty() {
+        self.pending.retain(|_, reservation| reservation.expires_ms > now_ms);
+        let expired = self.member.expire(now_ms);
+        if !expired.is_empty() {
             self.report_number += 1;
         }
-        lapsed.into_iter().filter_map(|(job, _)| self.grants.remove(&job)).collect()
+        expired.into_iter().filter_map(|(job, _)| self.grants.remove(&job)).collect()
     }
 
-    /// Forgets gangs that ended long ago.
-    pub fn forget(&mut self, now_ms: Millis) {
+    /// Removes the records and fences of jobs whose retention time is over.
+    pub fn remove_old_records(&mut self, now_ms: Millis) {
         let grants = &self.grants;
-        self.remembered.retain(|job, r| grants.contains_key(job) || now_ms < r.touched_ms + ENDED_KEPT_MS);
-        let remembered = &self.remembered;
-        self.commit.retain_ended(|job| remembered.contains_key(job));
-        self.member.retain_fences(|job| remembered.contains_key(job));
+        self.jobs.retain(|job, r| grants.contains_key(job) || now_ms < r.last_use_ms + RECORD_RETENTION_MS);
+        let jobs = &self.jobs;
+        self.commit_point.retain_ended(|job| jobs.contains_key(job));
+        self.member.retain_fences(|job| jobs.contains_key(job));
     }
 
     fn shares(&self) -> Vec<Share> {
@@ -316,7 +317,7 @@
             account: grant.reserve.account.clone(),
             held: grant.held(),
             class: grant.reserve.class,
-            started_ms: grant.since_ms,
+            started_ms: grant.held_since_ms,
             preemptible: grant.reserve.preemptible,
         };
         self.grants.iter().map(share).collect()
@@ -332,9 +333,9 @@
         for grant in self.grants.values() {
             free -= grant.held();
         }
-        for (other, promise) in &self.promises {
-            if other != job && promise.until_ms > now_ms {
-                free -= promise.amount;
+        for (other, reservation) in &self.pending {
+            if other != job && reservation.expires_ms > now_ms {
+                free -= reservation.amount;
             }
         }
         free
--- a/crates/daemon/src/agent/beat.rs
+++ b/crates/daemon/src/agent/heartbeat.rs
@@ -12,111 +12,114 @@
 use crate::agent::Agent;
 use crate::sync::lock;
 
-/// Time between two looks at which beats are due.
-const BEAT_TICK: Duration = Duration::from_millis(50);
+/// Interval of the check for due heartbeats; the stop of the agent wakes it earlier.
+const HEARTBEAT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time for the answer to a beat.
-const BEAT_TIMEOUT: Duration = Duration::from_millis(1_000);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time until the next beat after one that was not answered, in milliseconds.
-const RETRY_MS: Millis = 500;
+/// Delay of the next heartbeat after one without a reply.
+const RETRY_DELAY_MS: Millis = 500;
 
-/// Beats without an answer after which an entry that is not in the settings is forgotten.
-const FORGET_AFTER: u32 = 40;
+/// Consecutive heartbeats without a reply after which an entry that is not in the settings is removed.
+const MAX_UNANSWERED: u32 = 40;
 
 #[derive(Clone, Debug, Default)]
 struct Row {
-    seed: bool,
+    /// Whether the address is in the settings.
+    configured: bool,
     due_ms: Millis,
+    /// Number of the report that the entry has acknowledged.
     acknowledged: u64,
     unanswered: u32,
-    busy: bool,
+    /// Whether a heartbeat awaits its reply.
+    in_flight: bool,
 }
 
-/// The entries that this agent knows.
-pub struct Beats {
+/// State of the heartbeats to each known entry, by address.
+pub struct HeartbeatTable {
     rows: BTreeMap<String, Row>,
 }
 
-impl Beats {
-    /// Creates the table from the addresses in the settings.
-    pub fn new(seeds: &[SocketAddr]) -> Self {
-        let seed = |address: &SocketAddr| (address.to_string(), Row { seed: true, ..Row::default() });
-        Self { rows: seeds.iter().map(seed).collect() }
+impl HeartbeatTable {
+    /// Creates a table with the entries' addresses from the settings.
+    pub fn new(addresses: &[SocketAddr]) -> Self {
+        let row = |addr: &SocketAddr| (addr.to_string(), Row { configured: true, ..Row::default() });
+        Self { rows: addresses.iter().map(row).collect() }
     }
 
-    fn take_due(&mut self, now_ms: Millis, report_number: u64) -> Vec<(String, bool)> {
+    /// Marks the due heartbeats as in flight; returns their addresses and whether each needs the full report.
+    fn start_due(&mut self, now_ms: Millis, report_number: u64) -> Vec<(String, bool)> {
         let mut due = Vec::new();
         for (address, row) in &mut self.rows {
             let changed = row.acknowledged != report_number && row.unanswered == 0;
-            if !row.busy && (now_ms >= row.due_ms || changed) {
-                row.busy = true;
+            if !row.in_flight && (now_ms >= row.due_ms || changed) {
+                row.in_flight = true;
                 due.push((address.clone(), row.acknowledged != report_number));
             }
         }
         due
     }
 
-    fn answered(&mut self, address: &str, reply: &HeartbeatReply, now_ms: Millis) {
+    fn record_reply(&mut self, address: &str, reply: &HeartbeatReply, now_ms: Millis) {
         for entry in &reply.entries {
             self.rows.entry(entry.clone()).or_default();
         }
         if let Some(row) = self.rows.get_mut(address) {
-            row.busy = false;
+            row.in_flight = false;
             row.unanswered = 0;
             row.acknowledged = reply.report_number;
             row.due_ms = now_ms + Millis::from(reply.next_ms);
         }
     }
 
-    fn unanswered(&mut self, address: &str, now_ms: Millis) {
+    fn record_no_reply(&mut self, address: &str, now_ms: Millis) {
         let Some(row) = self.rows.get_mut(address) else { return };
-        row.busy = false;
+        row.in_flight = false;
         row.unanswered += 1;
         row.acknowledged = 0;
-        row.due_ms = now_ms + RETRY_MS;
-        if !row.seed && row.unanswered >= FORGET_AFTER {
+        row.due_ms = now_ms + RETRY_DELAY_MS;
+        if !row.configured && row.unanswered >= MAX_UNANSWERED {
             self.rows.remove(address);
         }
     }
 }
 
 impl Agent {
-    pub(super) async fn beat_loop(self: Arc<Self>) {
+    pub(super) async fn heartbeat_loop(self: Arc<Self>) {
         loop {
-            let _ = tokio::time::timeout(BEAT_TICK, self.beat_now.notified()).await;
+            let _ = tokio::time::timeout(HEARTBEAT_CHECK_INTERVAL, self.heartbeat_now.notified()).await;
             let report_number = lock(&self.authority).report_number;
-            let due = lock(&self.beats).take_due(self.now_ms(), report_number);
+            let due = lock(&self.heartbeats).start_due(self.now_ms(), report_number);
             for (address, with_report) in due {
                 let agent = self.clone();
-                tokio::spawn(async move { agent.send_beat(&address, with_report).await });
+                tokio::spawn(async move { agent.send_heartbeat(&address, with_report).await });
             }
         }
     }
 
-    async fn send_beat(&self, address: &str, with_report: bool) {
-        let beat = self.beat(with_report);
-        let call = self
-            .entries
-            .call(address, |entry| async move { entry.heartbeat(call_context(BEAT_TIMEOUT), beat).await });
-        let answer = call.await;
+    async fn send_heartbeat(&self, address: &str, with_report: bool) {
+        let heartbeat = self.build_heartbeat(with_report);
+        let call = self.entries.call(address, |entry| async move {
+            entry.heartbeat(call_context(HEARTBEAT_TIMEOUT), heartbeat).await
+        });
+        let result = call.await;
         let now_ms = self.now_ms();
-        match answer {
+        match result {
             Ok(reply) => {
-                self.metrics.beat();
-                lock(&self.beats).answered(address, &reply, now_ms);
+                self.metrics.count_heartbeat();
+                lock(&self.heartbeats).record_reply(address, &reply, now_ms);
                 if let Some(config) = reply.config {
                     self.configure(config);
                 }
             }
             Err(e) => {
-                log::debug!("entry at {address} does not answer: {e}");
-                lock(&self.beats).unanswered(address, now_ms);
+                log::debug!("no reply from the entry at {address}: {e}");
+                lock(&self.heartbeats).record_no_reply(address, now_ms);
             }
         }
     }
 
-    fn beat(&self, with_report: bool) -> Heartbeat {
+    fn build_heartbeat(&self, with_report: bool) -> Heartbeat {
         let now_ms = self.now_ms();
         let authority = lock(&self.authority);
         let shares = || {
@@ -133,24 +136,24 @@
                     .holds()
                     .get(&grant.reserve.job)
                     .map_or(sorrelland_lease::Phase::Finished, |hold| hold.phase),
-                age_ms: now_ms.saturating_sub(grant.since_ms),
+                age_ms: now_ms.saturating_sub(grant.held_since_ms),
             });
             rows.collect()
         };
         let report = with_report.then(|| Report {
             place: self.place.clone(),
             address: self.address.clone(),
-            capacity: self.sizes.amount(),
+            capacity: self.sizes.capacity(),
             draining: authority.is_draining(),
-            window: self.shorts.window(),
+            window: self.short_requests.window(),
             shares: shares(),
         });
         Heartbeat {
             worker: self.worker_id.clone(),
             incarnation: self.incarnation,
             report_number: authority.report_number,
-            in_flight: self.shorts.in_flight(),
-            service_us: self.shorts.service_us(),
+            in_flight: self.short_requests.in_flight(),
+            service_us: self.short_requests.service_us(),
             offset: authority.config.as_ref().map_or(0, |config| config.offset),
             report,
         }
--- a/crates/daemon/src/agent/mod.rs
+++ b/crates/daemon/src/agent/mod.rs
@@ -1,8 +1,8 @@
-//! The agent: the only authority over its worker's slots and accelerators.
+//! Agent process, which alone decides on the use of its worker's slots and accelerators.
 
 pub mod authority;
-mod beat;
 mod gang;
+mod heartbeat;
 mod service;
 mod short;
 pub mod worker;
@@ -22,20 +22,18 @@
 
 use crate::Result;
 use crate::agent::authority::Authority;
-use crate::agent::beat::Beats;
-use crate::agent::short::Shorts;
+use crate::agent::heartbeat::HeartbeatTable;
+use crate::agent::short::ShortRequests;
 use crate::agent::worker::{Sizes, WorkerClient};
 use crate::metrics::Metrics;
 use crate::stop::Stop;
 use crate::sync::lock;
 
-/// Time between two attempts to reach a worker that has not answered yet.
-const WORKER_RETRY: Duration = Duration::from_millis(250);
+const WORKER_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Attempts to reach a worker at the start.
-const WORKER_ATTEMPTS: u32 = 40;
+/// Attempts to contact the worker before the agent fails to start.
+const MAX_WORKER_ATTEMPTS: u32 = 40;
 
-/// An agent process.
 pub struct Agent {
     settings: Settings,
     place: Place,
@@ -45,12 +43,12 @@
     sizes: Sizes,
     worker: WorkerClient,
     authority: Mutex<Authority>,
-    shorts: Shorts,
-    beats: Mutex<Beats>,
+    short_requests: ShortRequests,
+    heartbeats: Mutex<HeartbeatTable>,
     peers: Pool<AgentRpcClient>,
     entries: Pool<EntryRpcClient>,
     wake: Notify,
-    beat_now: Notify,
+    heartbeat_now: Notify,
     origin: Instant,
     stop: Stop,
     metrics: Metrics,
@@ -58,16 +56,16 @@
 }
 
 impl Agent {
-    /// Binds the address and asks the worker for its sizes.
+    /// Binds the address, fetches the worker's sizes and stops orphaned tasks.
     ///
     /// # Errors
     ///
-    /// Returns why the address could not be bound or the worker did not answer.
+    /// Fails if the address cannot be bound or the worker does not answer.
     pub async fn start(settings: Settings, stop: Stop) -> Result<Arc<Self>> {
         let listener = TcpListener::bind(settings.daemon.rpc).await?;
         let address = listener.local_addr()?.to_string();
         let worker = WorkerClient::new(&settings.agent.worker);
-        let sizes = reach(&worker).await?;
+        let sizes = fetch_sizes(&worker).await?;
         let worker_id = WorkerId::new(&settings.daemon.name);
         let incarnation = rand::random();
         let daemon = &settings.daemon;
@@ -75,12 +73,12 @@
             place: Place::new(&daemon.region, &daemon.domain, &daemon.rack),
             authority: Mutex::new(Authority::new(
                 &worker_id,
-                sizes.amount(),
+                sizes.capacity(),
                 settings.agent.lease.as_millis() as Millis,
                 settings.agent.grace.as_millis() as Millis,
             )),
-            shorts: Shorts::new(&worker_id, incarnation, sizes.slots, sizes.connections),
-            beats: Mutex::new(Beats::new(&settings.agent.entries)),
+            short_requests: ShortRequests::new(&worker_id, incarnation, sizes.slots, sizes.connections),
+            heartbeats: Mutex::new(HeartbeatTable::new(&settings.agent.entries)),
             peers: Pool::new(&daemon.process_key),
             entries: Pool::new(&daemon.process_key),
             metrics: Metrics::new(&daemon.name),
@@ -90,52 +88,52 @@
             sizes,
             worker,
             wake: Notify::new(),
-            beat_now: Notify::new(),
+            heartbeat_now: Notify::new(),
             origin: Instant::now(),
             stop,
             listener: Mutex::new(Some(listener)),
             settings,
         });
-        agent.fence_leftovers().await;
+        agent.stop_orphaned_tasks().await;
         log::info!("agent of {} listens on {}", agent.worker_id, agent.address);
         Ok(agent)
     }
 
-    /// Runs until asked to stop, then finishes what is in flight.
+    /// Runs until asked to stop, then drains requests and gangs.
     pub async fn run(self: Arc<Self>) {
         let mut tasks = JoinSet::new();
         if let Some(listener) = lock(&self.listener).take() {
             tasks.spawn(self.clone().serve(listener));
         }
         tasks.spawn(self.clone().gang_loop());
-        tasks.spawn(self.clone().task_loop());
-        tasks.spawn(self.clone().beat_loop());
-        tasks.spawn(self.clone().window_loop());
+        tasks.spawn(self.clone().task_poll_loop());
+        tasks.spawn(self.clone().heartbeat_loop());
+        tasks.spawn(self.clone().key_window_loop());
         self.stop.raised().await;
-        self.leave().await;
+        self.shut_down().await;
         log::info!("agent of {} has stopped", self.worker_id);
     }
 
-    /// Refuses new work, tells the entries, and waits for what is in flight.
-    async fn leave(&self) {
+    /// Refuses new work, notifies the entries, and waits until no work is left or the drain time is over.
+    async fn shut_down(&self) {
         {
             let mut authority = lock(&self.authority);
-            authority.leaving = true;
+            authority.stopping = true;
             authority.report_number += 1;
         }
-        log::info!("agent of {} leaves: it takes nothing new", self.worker_id);
-        self.beat_now.notify_waiters();
+        log::info!("agent of {} is stopping and accepts no new work", self.worker_id);
+        self.heartbeat_now.notify_waiters();
         let deadline = Instant::now() + self.settings.daemon.drain;
         while Instant::now() < deadline && !self.is_idle() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        // One more beat, so that the entries do not wait for the silence.
-        self.beat_now.notify_waiters();
+        // Sends the last report, so that the entries need not wait for missed heartbeats.
+        self.heartbeat_now.notify_waiters();
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 
     fn is_idle(&self) -> bool {
-        self.shorts.in_flight() == 0 && lock(&self.authority).grants.is_empty()
+        self.short_requests.in_flight() == 0 && lock(&self.authority).grants.is_empty()
     }
 
     fn now_ms(&self) -> Millis {
@@ -143,13 +141,13 @@
     }
 }
 
-async fn reach(worker: &WorkerClient) -> Result<Sizes> {
+async fn fetch_sizes(worker: &WorkerClient) -> Result<Sizes> {
     let mut attempt = 1;
     loop {
         match worker.sizes().await {
             Ok(sizes) => return Ok(sizes),
-            Err(e) if attempt == WORKER_ATTEMPTS => return Err(e.into()),
-            Err(_) => tokio::time::sleep(WORKER_RETRY).await,
+            Err(e) if attempt == MAX_WORKER_ATTEMPTS => return Err(e.into()),
+            Err(_) => tokio::time::sleep(WORKER_RETRY_DELAY).await,
         }
         attempt += 1;
     }
--- a/crates/daemon/src/agent/service.rs
+++ b/crates/daemon/src/agent/service.rs
@@ -1,4 +1,4 @@
-//! The agent's remote calls.
+//! RPC service of the agent.
 
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
     async fn execute(self, _: Context, exec: Exec) -> ExecReply {
         let request = exec.request.clone();
         let agent = self.0;
-        // On a task of its own: a caller that goes away must not cut the work.
+        // A separate task, since this one is cancelled when the caller disconnects and the request must still end.
         let run = tokio::spawn(async move { agent.execute(exec).await });
         let outcome = run.await.unwrap_or_else(|e| Outcome::Unknown { reason: e.to_string() });
         ExecReply { request, outcome }
@@ -44,7 +44,7 @@
 
     async fn commit(self, _: Context, job: JobId, epoch: Epoch) -> Option<GangState> {
         let now_ms = self.0.now_ms();
-        let state = lock(&self.0.authority).commit.request_commit(&job, epoch, now_ms);
+        let state = lock(&self.0.authority).commit_point.request_commit(&job, epoch, now_ms);
         self.0.wake.notify_one();
         state
     }
@@ -56,11 +56,11 @@
 
     async fn stop(self, _: Context, job: JobId, epoch: Epoch) -> GangStatus {
         let agent = self.0;
-        let stopping = agent.clone();
-        let name = job.clone();
-        let run = tokio::spawn(async move { stopping.fence(&name, epoch).await });
+        let fencing_agent = agent.clone();
+        let fenced_job = job.clone();
+        let run = tokio::spawn(async move { fencing_agent.fence(&fenced_job, epoch).await });
         if let Err(e) = run.await {
-            log::error!(job = job.as_str(); "stop did not end: {e}");
+            log::error!(job = job.as_str(); "stop was not completed: {e}");
         }
         let now_ms = agent.now_ms();
         lock(&agent.authority).status(&job, now_ms)
--- a/crates/daemon/src/agent/short.rs
+++ b/crates/daemon/src/agent/short.rs
@@ -1,4 +1,4 @@
-//! Short requests on this worker's upstream.
+//! Execution of short requests on this worker's upstream.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -17,19 +17,20 @@
 use crate::agent::Agent;
 use crate::sync::lock;
 
-/// Time for which a window of keys is open.
-pub const WINDOW: Duration = Duration::from_secs(600);
+/// Length of a key window.
+pub const KEY_WINDOW: Duration = Duration::from_secs(600);
 
-/// When to come back to a full or leaving upstream, in milliseconds.
+/// Delay that a refused caller should wait before it retries.
 const RETRY_MS: Millis = 200;
 
-/// Weight of the newest service time in the mean.
-const NEWEST_WEIGHT: f64 = 0.1;
+/// Weight of the latest sample in the moving average of the service time.
+const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Keys, load and service time of short requests.
-pub struct Shorts {
+/// Idempotency keys, load and service time of short requests.
+pub struct ShortRequests {
     keys: Mutex<KeyTable<Outcome>>,
-    ended: Notify,
+    /// Notified when the outcome of a keyed request is recorded.
+    key_ended: Notify,
     in_flight: AtomicU32,
     service_us: AtomicU32,
     slots: u32,
@@ -41,12 +42,11 @@
     request: String,
 }
 
-impl Shorts {
-    /// Creates the state of an upstream with `slots` slots and `connections` connections.
+impl ShortRequests {
     pub fn new(worker: &WorkerId, incarnation: u64, slots: u32, connections: u32) -> Self {
         Self {
             keys: Mutex::new(KeyTable::new(worker, incarnation)),
-            ended: Notify::new(),
+            key_ended: Notify::new(),
             in_flight: AtomicU32::new(0),
             service_us: AtomicU32::new(0),
             slots,
@@ -54,120 +54,122 @@
         }
     }
 
-    /// Returns the requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Returns the mean service time in microseconds.
+    /// Returns the moving average of the service time in microseconds; 0 before the first request has ended.
     pub fn service_us(&self) -> u32 {
         self.service_us.load(Ordering::Relaxed)
     }
 
-    /// Returns the window in which keys are minted now.
+    /// Returns the window in which keys are issued now.
     pub fn window(&self) -> KeyWindow {
         lock(&self.keys).window().clone()
     }
 
-    /// Opens the next window of keys.
-    pub fn advance(&self) {
+    /// Opens the next key window; the keys of the oldest one expire.
+    pub fn open_next_window(&self) {
         lock(&self.keys).open_next_window();
     }
 
-    fn record(&self, service: Duration) {
-        let newest = service.as_micros() as f64;
+    fn record_service_time(&self, service: Duration) {
+        let sample = service.as_micros() as f64;
         let mean = f64::from(self.service_us());
-        let next = if mean == 0.0 { newest } else { mean + NEWEST_WEIGHT * (newest - mean) };
-        self.service_us.store(next as u32, Ordering::Relaxed);
+        let average = if mean == 0.0 { sample } else { mean + SAMPLE_WEIGHT * (sample - mean) };
+        self.service_us.store(average as u32, Ordering::Relaxed);
     }
 
-    /// Takes a place among the upstream's connections, if the deadline can be met.
-    fn enter(&self, left_ms: Millis) -> Result<Place<'_>, Outcome> {
-        let place = Place(self);
-        let queued = self.in_flight.fetch_add(1, Ordering::Relaxed);
-        if queued >= self.connections {
+    /// Claims one of the upstream's connections, unless all are in use or the deadline cannot be met.
+    fn acquire_connection(&self, remaining_ms: Millis) -> Result<InFlightGuard<'_>, Outcome> {
+        let guard = InFlightGuard(self);
+        let ahead = self.in_flight.fetch_add(1, Ordering::Relaxed);
+        if ahead >= self.connections {
             return Err(Outcome::NotRun { reason: NotRun::Busy, retry_ms: RETRY_MS });
         }
         let service_ms = f64::from(self.service_us()) / 1_000.0;
-        let waves = f64::from(queued / self.slots.max(1));
-        let delay_ms = service_ms * (waves + 1.0);
-        match sorrelland_core::route::admit(delay_ms, left_ms) {
-            Ok(()) => Ok(place),
+        let batches = f64::from(ahead / self.slots.max(1));
+        let delay_ms = service_ms * (batches + 1.0);
+        match sorrelland_core::route::admit(delay_ms, remaining_ms) {
+            Ok(()) => Ok(guard),
             Err(retry_ms) => Err(Outcome::NotRun { reason: NotRun::Deadline, retry_ms }),
         }
     }
 }
 
-/// A place among the requests in flight, given back when dropped.
-struct Place<'a>(&'a Shorts);
+/// Counts one request as in flight until it is dropped.
+struct InFlightGuard<'a>(&'a ShortRequests);
 
-impl Drop for Place<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Agent {
-    pub(super) async fn window_loop(self: std::sync::Arc<Self>) {
+    pub(super) async fn key_window_loop(self: std::sync::Arc<Self>) {
         loop {
-            tokio::time::sleep(WINDOW).await;
-            self.shorts.advance();
+            tokio::time::sleep(KEY_WINDOW).await;
+            self.short_requests.open_next_window();
             lock(&self.authority).report_number += 1;
         }
     }
 
-    /// Runs a short request, at most once for each key.
+    /// Runs a short request, at most once per idempotency key.
     pub(super) async fn execute(&self, exec: Exec) -> Outcome {
         let Some(key) = exec.key.clone() else {
-            return self.run_once(&exec).await;
+            return self.run_request(&exec).await;
         };
-        let begun = lock(&self.shorts.keys).begin(&key);
-        match begin_outcome(begun) {
+        let key_status = lock(&self.short_requests.keys).begin(&key);
+        match known_outcome(key_status) {
             Some(Ok(outcome)) => outcome,
-            Some(Err(())) => self.await_other(&exec, &key).await,
+            Some(Err(())) => self.await_earlier(&exec, &key).await,
             None => {
-                let outcome = self.run_once(&exec).await;
-                lock(&self.shorts.keys).record_outcome(&key, outcome.clone());
-                self.shorts.ended.notify_waiters();
+                let outcome = self.run_request(&exec).await;
+                lock(&self.short_requests.keys).record_outcome(&key, outcome.clone());
+                self.short_requests.key_ended.notify_waiters();
                 outcome
             }
         }
     }
 
-    /// Waits for the outcome of a request that came earlier under the same key.
-    async fn await_other(&self, exec: &Exec, key: &Key) -> Outcome {
+    /// Waits for the outcome of an earlier request with the same key.
+    async fn await_earlier(&self, exec: &Exec, key: &Key) -> Outcome {
         let deadline = Instant::now() + Duration::from_millis(exec.remaining_ms);
         loop {
-            let ended = self.shorts.ended.notified();
-            let begun = lock(&self.shorts.keys).begin(key);
-            if let Some(Ok(outcome)) = begin_outcome(begun) {
+            let ended = self.short_requests.key_ended.notified();
+            let key_status = lock(&self.short_requests.keys).begin(key);
+            if let Some(Ok(outcome)) = known_outcome(key_status) {
                 return outcome;
             }
-            let left = deadline.saturating_duration_since(Instant::now());
-            if tokio::time::timeout(left, ended).await.is_err() {
-                return Outcome::Unknown { reason: "an earlier request with this key still runs".to_owned() };
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if tokio::time::timeout(remaining, ended).await.is_err() {
+                return Outcome::Unknown {
+                    reason: "an earlier request with this key is still running".to_owned(),
+                };
             }
         }
     }
 
-    async fn run_once(&self, exec: &Exec) -> Outcome {
-        if let Some(reason) = self.closed(exec) {
+    async fn run_request(&self, exec: &Exec) -> Outcome {
+        if let Some(reason) = self.refusal_reason(exec) {
             return Outcome::NotRun { reason, retry_ms: RETRY_MS };
         }
-        let place = match self.shorts.enter(exec.remaining_ms) {
-            Ok(place) => place,
+        let guard = match self.short_requests.acquire_connection(exec.remaining_ms) {
+            Ok(guard) => guard,
             Err(outcome) => return outcome,
         };
         let started = Instant::now();
-        let outcome = self.ask_upstream(exec).await;
+        let outcome = self.call_upstream(exec).await;
         if matches!(outcome, Outcome::Done { .. }) {
-            self.shorts.record(started.elapsed());
+            self.short_requests.record_service_time(started.elapsed());
         }
-        drop(place);
+        drop(guard);
         outcome
     }
 
-    fn closed(&self, exec: &Exec) -> Option<NotRun> {
+    fn refusal_reason(&self, exec: &Exec) -> Option<NotRun> {
         let authority = lock(&self.authority);
         if authority.is_draining() {
             return Some(NotRun::Draining);
@@ -180,7 +182,7 @@
         }
     }
 
-    async fn ask_upstream(&self, exec: &Exec) -> Outcome {
+    async fn call_upstream(&self, exec: &Exec) -> Outcome {
         let body: serde_json::Value = serde_json::from_slice(&exec.body).unwrap_or_default();
         let key = exec.key.as_ref().map(Key::to_string).unwrap_or_default();
         let call = json!({ "request": exec.request, "account": exec.account, "key": key, "body": body });
@@ -193,8 +195,10 @@
                 let status = reply.status.as_u16();
                 let identity = serde_json::from_slice::<Identity>(&reply.body).ok();
                 if reply.status.is_success() && identity.is_none_or(|i| i.request != exec.request) {
-                    self.metrics.mismatched();
-                    return Outcome::Unknown { reason: "the upstream answered another request".to_owned() };
+                    self.metrics.count_mismatched();
+                    return Outcome::Unknown {
+                        reason: "the upstream's response is for another request".to_owned(),
+                    };
                 }
                 Outcome::Done { status, body: reply.body.to_vec() }
             }
@@ -204,14 +208,14 @@
     }
 }
 
-/// Returns the outcome that a key's record gives, an error while it runs, or `None` for fresh work.
-fn begin_outcome(begun: KeyStatus<Outcome>) -> Option<Result<Outcome, ()>> {
-    match begun {
+/// Returns the outcome of a known key, an error while its request runs, or `None` if the request must be run.
+fn known_outcome(key_status: KeyStatus<Outcome>) -> Option<Result<Outcome, ()>> {
+    match key_status {
         KeyStatus::New => None,
         KeyStatus::Running => Some(Err(())),
         KeyStatus::Ended(outcome) => Some(Ok(outcome)),
         KeyStatus::Unknown => {
-            Some(Ok(Outcome::Unknown { reason: "the key's home does not remember it".to_owned() }))
+            Some(Ok(Outcome::Unknown { reason: "the key's home has no record of it".to_owned() }))
         }
         KeyStatus::Full => Some(Ok(Outcome::NotRun { reason: NotRun::Busy, retry_ms: RETRY_MS })),
     }
--- a/crates/daemon/src/agent/worker.rs
+++ b/crates/daemon/src/agent/worker.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's worker and its upstream.
+//! HTTP client of the platform's worker and its upstream.
 
 use std::time::Duration;
 
@@ -9,73 +9,64 @@
 use sorrelland_core::shape::Amount;
 use sorrelland_web::client::{Client, Error, HttpResponse, Result};
 
-/// Time for one control call to the worker.
+/// Time-out of a control call to the worker.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Sizes of a worker.
+/// Resources of a worker.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Sizes {
-    /// Task slots; also requests that the upstream runs at a time.
+    /// Task slots, and the number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// Accelerators.
     pub accelerators: u32,
-    /// Connections that the upstream takes.
+    /// Maximum number of concurrent connections to the upstream.
     pub connections: u32,
 }
 
 impl Sizes {
-    /// Returns slots and accelerators.
-    pub fn amount(&self) -> Amount {
+    pub fn capacity(&self) -> Amount {
         Amount::new(self.slots, self.accelerators)
     }
 }
 
 #[derive(Deserialize)]
-struct Info {
+struct WorkerInfo {
     sizes: Sizes,
 }
 
-/// How far a task has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// The task runs.
     Running,
-    /// The task ended by itself.
+    /// The task ended without being stopped.
     Done,
-    /// The task failed.
     Failed,
-    /// The task was stopped.
+    /// A request stopped the task.
     Stopped,
-    /// The lease ended and the worker stopped the task.
+    /// The lease expired and the worker stopped the task.
     Lapsed,
 }
 
-/// A task as the worker tells it.
+/// Task as reported by the worker.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Task {
-    /// What it was started with.
     pub spec: TaskSpec,
-    /// How far it has come.
     pub state: TaskState,
 }
 
-/// What a task is started with.
+/// Parameters with which a task is started.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskSpec {
     /// Name of the task, unique on the worker.
     pub task: String,
-    /// Job that the task belongs to.
     pub job: String,
-    /// Attempt.
+    /// Attempt of the job.
     pub epoch: u64,
-    /// Accelerators that the task takes.
     pub accelerators: u32,
-    /// Time for which the task may run without a renewal, in milliseconds.
+    /// Time after which the worker stops the task unless its lease is renewed, in milliseconds.
     pub lease_ms: u64,
-    /// Run time that a checkpoint kept, in milliseconds.
+    /// Run time preserved by a checkpoint, in milliseconds.
     pub done_ms: u64,
-    /// What to do.
+    /// Work for the upstream.
     pub work: Value,
 }
 
@@ -84,7 +75,6 @@
     done_ms: u64,
 }
 
-/// A client of one worker.
 #[derive(Clone, Debug)]
 pub struct WorkerClient {
     client: Client,
@@ -92,25 +82,24 @@
 }
 
 impl WorkerClient {
-    /// Creates a client.
     pub fn new(url: &str) -> Self {
         Self { client: Client::new(CONTROL_TIMEOUT), url: url.trim_end_matches('/').to_owned() }
     }
 
-    /// Returns the sizes of the worker.
+    /// Fetches the resources of the worker.
     ///
     /// # Errors
     ///
-    /// Returns why the worker did not tell.
+    /// Fails if the call fails or the reply is not valid.
     pub async fn sizes(&self) -> Result<Sizes> {
-        Ok(self.client.get::<Info>(&format!("{}/v1/worker", self.url)).await?.sizes)
+        Ok(self.client.get::<WorkerInfo>(&format!("{}/v1/worker", self.url)).await?.sizes)
     }
 
-    /// Returns the tasks on the worker.
+    /// Fetches the tasks on the worker, ended ones included.
     ///
     /// # Errors
     ///
-    /// Returns why the worker did not tell.
+    /// Fails if the call fails or the reply is not valid.
     pub async fn tasks(&self) -> Result<Vec<Task>> {
         self.client.get(&format!("{}/v1/tasks", self.url)).await
     }
@@ -119,63 +108,63 @@
     ///
     /// # Errors
     ///
-    /// Returns why the worker did not start it.
+    /// Fails if the worker does not confirm the start.
     pub async fn start(&self, spec: &TaskSpec) -> Result<Task> {
         self.client.call(Method::POST, &format!("{}/v1/tasks", self.url), spec).await
     }
 
-    /// Extends a task's lease.
+    /// Renews a task's lease, which then ends in `lease_ms`.
     ///
     /// # Errors
     ///
-    /// Returns why the worker did not extend it.
+    /// Fails if the worker does not confirm the renewal.
     pub async fn renew(&self, task: &str, lease_ms: u64) -> Result<()> {
-        let url = format!("{}/v1/tasks/{}/lease", self.url, encode(task));
+        let url = format!("{}/v1/tasks/{}/lease", self.url, encode_path_segment(task));
         let body = Bytes::from(json!({ "lease_ms": lease_ms }).to_string());
-        accept(self.client.send(Method::PUT, &url, &[], body).await?)
+        check_status(self.client.send(Method::PUT, &url, &[], body).await?)
     }
 
-    /// Checkpoints a task and returns the run time kept, in milliseconds.
+    /// Checkpoints a task and returns the run time preserved, in milliseconds.
     ///
     /// # Errors
     ///
-    /// Returns why there is no checkpoint.
+    /// Fails if the worker does not confirm the checkpoint.
     pub async fn checkpoint(&self, task: &str) -> Result<u64> {
-        let url = format!("{}/v1/tasks/{}/checkpoint", self.url, encode(task));
-        let kept: Checkpoint = self.client.send(Method::POST, &url, &[], Bytes::new()).await?.json()?;
-        Ok(kept.done_ms)
+        let url = format!("{}/v1/tasks/{}/checkpoint", self.url, encode_path_segment(task));
+        let checkpoint: Checkpoint = self.client.send(Method::POST, &url, &[], Bytes::new()).await?.json()?;
+        Ok(checkpoint.done_ms)
     }
 
     /// Stops a task.
     ///
     /// # Errors
     ///
-    /// Returns why the worker did not confirm.
+    /// Fails if the worker does not confirm the stop.
     pub async fn stop(&self, task: &str) -> Result<()> {
-        let url = format!("{}/v1/tasks/{}", self.url, encode(task));
-        accept(self.client.send(Method::DELETE, &url, &[], Bytes::new()).await?)
+        let url = format!("{}/v1/tasks/{}", self.url, encode_path_segment(task));
+        check_status(self.client.send(Method::DELETE, &url, &[], Bytes::new()).await?)
     }
 
-    /// Sends a short request to the upstream and returns its whole answer.
+    /// Sends a short request to the upstream and returns the complete response, of any status.
     ///
     /// # Errors
     ///
-    /// Returns why there is no whole answer.
+    /// Fails if no complete response arrives within `timeout`.
     pub async fn request(&self, body: Bytes, timeout: Duration) -> Result<HttpResponse> {
         let client = self.client.clone().with_timeout(timeout);
         client.send(Method::POST, &format!("{}/v1/requests", self.url), &[], body).await
     }
 }
 
-fn accept(reply: HttpResponse) -> Result<()> {
+fn check_status(reply: HttpResponse) -> Result<()> {
     if reply.status.is_success() {
         return Ok(());
     }
     Err(Error::Status { status: reply.status, body: String::from_utf8_lossy(&reply.body).into_owned() })
 }
 
-/// Encodes a name as one segment of a path.
-pub fn encode(name: &str) -> String {
+/// Percent-encodes `name` as one segment of a path.
+pub fn encode_path_segment(name: &str) -> String {
     let mut encoded = String::new();
     for byte in name.bytes() {
         match byte {
--- a/crates/daemon/src/entry/api.rs
+++ b/crates/daemon/src/entry/api.rs
@@ -106,7 +106,7 @@
     let started = Instant::now();
     let answer = entry.run_short(&id, &account, key, &body).await;
     let elapsed = started.elapsed();
-    entry.metrics.request(account.as_str(), answer.outcome(), elapsed.as_secs_f64());
+    entry.metrics.record_request(account.as_str(), answer.outcome(), elapsed.as_secs_f64());
     let late = elapsed > Duration::from_millis(body.deadline_ms);
     lock(&entry.burn).record(&account, Objective::Answers, answer.event(late), wall_ms());
     let outcome = answer.outcome();
@@ -291,7 +291,7 @@
             Record::Claim { job: id.clone(), entry: self.claimant.clone(), base: 0 },
         ];
         self.write(records).await.map_err(write_error)?;
-        self.metrics.job("accepted");
+        self.metrics.count_job_event("accepted");
         self.wake.notify_one();
         let known = self.with_fold(|fold| fold.jobs.get(&id).cloned()).flatten();
         match known {
@@ -389,7 +389,7 @@
     let entry = cx.context();
     entry.keys.operator(&cx)?;
     let response = Response::builder().header(http::header::CONTENT_TYPE, "text/plain; version=0.0.4");
-    let response = response.body(Body::from(entry.metrics.text()));
+    let response = response.body(Body::from(entry.metrics.encode()));
     response.map_err(|e| ApiError::new(500, "internal", e))
 }
 
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -126,7 +126,7 @@
             self.stop_all(&gang).await;
             return;
         }
-        self.metrics.job("placed");
+        self.metrics.count_job_event("placed");
         let end = match self.commit(&gang).await {
             true => self.watch(&gang).await,
             false => self.settle(&gang).await,
@@ -406,7 +406,7 @@
             Some(outcome) => log::info!(job = gang.job.as_str(); "epoch {} ends: {outcome:?}", gang.epoch),
             None => log::info!(job = gang.job.as_str(); "epoch {} stops and the job waits again", gang.epoch),
         }
-        self.metrics.job(if outcome.is_some() { "ended" } else { "requeued" });
+        self.metrics.count_job_event(if outcome.is_some() { "ended" } else { "requeued" });
         if gang.source == Source::Attached {
             self.answer_attached(gang.job, outcome);
             return;
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -48,7 +48,7 @@
     }
 
     fn take_beat(&self, beat: Heartbeat) -> HeartbeatReply {
-        self.metrics.beat();
+        self.metrics.count_heartbeat();
         let asks = beat.report.is_some();
         let (worker, offset) = (beat.worker.clone(), beat.offset);
         let (report_number, next_ms) = {
--- a/crates/daemon/src/entry/short.rs
+++ b/crates/daemon/src/entry/short.rs
@@ -172,7 +172,7 @@
         if call.left_ms() == 0 || !lock(&self.retries).withdraw() {
             return false;
         }
-        self.metrics.retry();
+        self.metrics.count_retry();
         tokio::time::sleep(Duration::from_millis(rand::random_range(1..20))).await;
         true
     }
@@ -220,7 +220,7 @@
         match result {
             Ok(reply) if reply.request == call.request => Attempt::Told(reply.outcome),
             Ok(reply) => {
-                self.metrics.mismatched();
+                self.metrics.count_mismatched();
                 log::error!(request = call.request; "an agent answered request {}", reply.request);
                 Attempt::Broken("the answer was another request's".to_owned())
             }
--- a/crates/daemon/src/entry/write.rs
+++ b/crates/daemon/src/entry/write.rs
@@ -87,16 +87,16 @@
         let records: Vec<Record> = batch.iter().flat_map(|write| write.records.clone()).collect();
         match self.log.append(&records).await {
             Ok(appended) => {
-                self.metrics.append("done");
+                self.metrics.count_append("done");
                 Ok(appended.next)
             }
             Err(log_client::Error::NotSent(_)) => {
-                self.metrics.append("not_sent");
+                self.metrics.count_append("not_sent");
                 Err(Error::NotWritten)
             }
             Err(log_client::Error::Unknown(e)) => {
                 log::debug!("append is not answered: {e}");
-                self.metrics.append("unknown");
+                self.metrics.count_append("unknown");
                 Err(Error::Unknown)
             }
         }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,11 +1,11 @@
-//! Metrics with a Prometheus text form.
+//! Metrics, exported in the Prometheus text format.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// The instruments of a process.
+/// Metric instruments of one process.
 pub struct Metrics {
     registry: Registry,
     _provider: Option<SdkMeterProvider>,
@@ -15,11 +15,10 @@
     retries: Counter<u64>,
     job_events: Counter<u64>,
     log_appends: Counter<u64>,
-    beats: Counter<u64>,
+    heartbeats: Counter<u64>,
 }
 
 impl Metrics {
-    /// Creates the instruments of a process called `name`.
     pub fn new(name: &str) -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone()).build();
@@ -43,45 +42,43 @@
             retries: meter.u64_counter("sorrelland_retries").build(),
             job_events: meter.u64_counter("sorrelland_job_events").build(),
             log_appends: meter.u64_counter("sorrelland_log_appends").build(),
-            beats: meter.u64_counter("sorrelland_beats").build(),
+            heartbeats: meter.u64_counter("sorrelland_beats").build(),
             _provider: provider,
         }
     }
 
-    /// Counts a request of an account by outcome, with its time in seconds.
-    pub fn request(&self, account: &str, outcome: &'static str, seconds: f64) {
+    /// Counts a request by account and outcome, and records its latency in seconds.
+    pub fn record_request(&self, account: &str, outcome: &'static str, seconds: f64) {
         let labels = [KeyValue::new("account", account.to_owned()), KeyValue::new("outcome", outcome)];
         self.requests.add(1, &labels);
         self.latency.record(seconds, &labels);
     }
 
-    /// Counts an answer whose identity was not the request's.
-    pub fn mismatched(&self) {
+    /// Counts a response that carried the ID of another request.
+    pub fn count_mismatched(&self) {
         self.mismatched.add(1, &[]);
     }
 
-    /// Counts a retry.
-    pub fn retry(&self) {
+    pub fn count_retry(&self) {
         self.retries.add(1, &[]);
     }
 
-    /// Counts an event in the life of jobs.
-    pub fn job(&self, event: &'static str) {
+    /// Counts a state change of a job by event.
+    pub fn count_job_event(&self, event: &'static str) {
         self.job_events.add(1, &[KeyValue::new("event", event)]);
     }
 
     /// Counts an append to the log by result.
-    pub fn append(&self, result: &'static str) {
+    pub fn count_append(&self, result: &'static str) {
         self.log_appends.add(1, &[KeyValue::new("result", result)]);
     }
 
-    /// Counts a heartbeat.
-    pub fn beat(&self) {
-        self.beats.add(1, &[]);
+    pub fn count_heartbeat(&self) {
+        self.heartbeats.add(1, &[]);
     }
 
-    /// Returns all metrics in Prometheus text form.
-    pub fn text(&self) -> String {
+    /// Returns all metrics in the Prometheus text format.
+    pub fn encode(&self) -> String {
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
