--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon: an entry, an agent, or everything in one process.
+//! Daemon that runs as an entry, as an agent, or as a standalone process with entry, agents and stand-ins.
 
 pub mod agent;
 pub mod entry;
@@ -15,28 +15,27 @@
 
 use crate::stop::Stop;
 
-/// Result of running a daemon.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a daemon ended.
+/// Why a daemon could not start.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// An address could not be bound for HTTP.
+    /// The HTTP address could not be bound.
     #[display("{_0}")]
     Http(dropshot::BuildError),
-    /// An address could not be bound for other processes.
+    /// The RPC address could not be bound.
     #[display("cannot listen: {_0}")]
     Listen(std::io::Error),
-    /// The worker did not tell its sizes.
+    /// The worker did not report its sizes.
     #[display("worker does not answer: {_0}")]
     Worker(sorrelland_web::client::Error),
 }
 
-/// Runs the role that the settings name, until a signal asks to stop.
+/// Runs the role from the settings until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Returns why the daemon could not start.
+/// Fails if the daemon cannot start.
 pub async fn run(settings: Settings) -> Result<()> {
     let stop = Stop::on_signals();
     match settings.daemon.role {
--- a/crates/daemon/src/log_client.rs
+++ b/crates/daemon/src/log_client.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's log service.
+//! HTTP client of the platform's log service.
 
 use std::time::Duration;
 
@@ -10,20 +10,19 @@
 use sorrelland_ledger::Record;
 use sorrelland_web::Client;
 
-/// Result of a call to the log.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Wait of a read for new records, in milliseconds.
+/// Time that the log holds a read open until there are new records.
 const READ_WAIT_MS: u64 = 1_000;
 
-/// Why the log gave no usable answer.
+/// Why a call to the log failed.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// The call was never sent: nothing was appended.
-    #[display("log not reached: {_0}")]
+    /// The request was not sent, so nothing was appended.
+    #[display("cannot reach the log: {_0}")]
     NotSent(sorrelland_web::client::Error),
-    /// The call may have taken effect.
-    #[display("log gave no answer: {_0}")]
+    /// The request may have taken effect.
+    #[display("no valid reply from the log: {_0}")]
     Unknown(sorrelland_web::client::Error),
 }
 
@@ -41,48 +40,44 @@
     records: &'a [Record],
 }
 
-/// Where an append went.
+/// Reply to an append.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Appended {
+pub struct AppendReply {
     /// Offset after the last appended record.
     pub next: u64,
 }
 
-/// A record as it was read; one that is not ours stays raw.
+/// Record as read, kept as raw JSON because the log may hold records of other software.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Row {
-    /// Offset of the record.
+pub struct RawRecord {
     pub offset: u64,
-    /// The record.
     pub record: Value,
 }
 
-/// Records from an offset on.
+/// Reply to a read.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Page {
-    /// Offset of the oldest record that is kept.
+    /// Offset of the oldest record that the log retains.
     pub first: u64,
-    /// Offset after the newest record.
+    /// Offset after the latest record of the log.
     pub next: u64,
-    /// The records.
-    pub entries: Vec<Row>,
+    pub entries: Vec<RawRecord>,
 }
 
-/// A client of one log.
 #[derive(Clone, Debug)]
 pub struct LogClient {
     client: Client,
-    reader: Client,
+    /// Client whose time-out includes the wait of a read.
+    read_client: Client,
     url: String,
 }
 
 impl LogClient {
-    /// Creates a client.
     pub fn new(log: &Log) -> Self {
         let wait = Duration::from_millis(READ_WAIT_MS);
         Self {
             client: Client::new(log.timeout),
-            reader: Client::new(log.timeout + wait),
+            read_client: Client::new(log.timeout + wait),
             url: format!("{}/v1/records", log.url.trim_end_matches('/')),
         }
     }
@@ -91,17 +86,17 @@
     ///
     /// # Errors
     ///
-    /// Returns whether the call may have taken effect.
-    pub async fn append(&self, records: &[Record]) -> Result<Appended> {
+    /// [`Error::NotSent`] if nothing was appended, [`Error::Unknown`] if the records may have been.
+    pub async fn append(&self, records: &[Record]) -> Result<AppendReply> {
         Ok(self.client.call(Method::POST, &self.url, &Append { records }).await?)
     }
 
-    /// Reads records from an offset on, waiting a while for new ones.
+    /// Reads records from offset `from` on; the log waits up to `READ_WAIT_MS` for new ones.
     ///
     /// # Errors
     ///
-    /// Returns why there was no answer.
+    /// Fails if the call fails or the reply is not valid.
     pub async fn read(&self, from: u64) -> Result<Page> {
-        Ok(self.reader.get(&format!("{}?from={from}&wait_ms={READ_WAIT_MS}", self.url)).await?)
+        Ok(self.read_client.get(&format!("{}?from={from}&wait_ms={READ_WAIT_MS}", self.url)).await?)
     }
 }
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Structured logs.
+//! Set-up of structured logging.
 
 use derive_more::{Display, Error, From};
 use log::LevelFilter;
@@ -9,29 +9,28 @@
 use log4rs::encode::pattern::PatternEncoder;
 use sorrelland_conf::settings::{Format, Logging};
 
-/// Result of setting up the logs.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why the logs could not be set up.
+/// Why logging could not be set up.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// The configuration was refused.
+    /// log4rs rejected the configuration.
     #[display("{_0}")]
     Config(log4rs::config::runtime::ConfigErrors),
-    /// A logger was set before.
+    /// A logger is already set.
     #[display("{_0}")]
     Set(log::SetLoggerError),
 }
 
-/// Pattern of a text line: time, level, module, request, job and message.
+/// Line of the text format: time, level, module, request, job and message.
 const PATTERN: &str =
     "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {t} request={K(request)(-)} job={K(job)(-)} {m}{n}";
 
-/// Sends logs to standard error.
+/// Sets up logging to standard error.
 ///
 /// # Errors
 ///
-/// Returns why the logs could not be set up.
+/// Fails if the configuration is rejected or a logger is already set.
 pub fn init(logging: &Logging) -> Result<()> {
     let level: LevelFilter = logging.level.parse().unwrap_or(LevelFilter::Info);
     let encoder: Box<dyn Encode> = match logging.format {
--- a/crates/daemon/src/standalone.rs
+++ b/crates/daemon/src/standalone.rs
@@ -1,4 +1,4 @@
-//! The embedded default: an entry, agents and stand-ins in one process.
+//! Standalone role, the default: an entry, agents and stand-ins for the platform in one process.
 
 use std::net::SocketAddr;
 
@@ -11,23 +11,22 @@
 use crate::entry::Entry;
 use crate::stop::Stop;
 
-/// Workers in one rack.
-const RACK_WORKERS: usize = 3;
+const WORKERS_PER_RACK: usize = 3;
 
-/// Account that the embedded default creates when the settings name none.
+/// Name and key of the account that is created if the settings have none.
 const DEMO_ACCOUNT: (&str, &str) = ("demo", "demo-account-key");
 
-/// Operator that the embedded default creates when the settings name none.
+/// Name and key of the operator that is created if the settings have none.
 const DEMO_OPERATOR: (&str, &str) = ("demo", "demo-operator-key");
 
-/// Runs everything until asked to stop.
+/// Runs all parts until asked to stop.
 ///
 /// # Errors
 ///
-/// Returns which address could not be bound.
+/// Fails if an address cannot be bound or a worker does not answer.
 pub async fn run(mut settings: Settings, stop: Stop) -> Result<()> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let platform_log = log::start(any)?;
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let platform_log = log::start(any_port)?;
     settings.log.url = format!("http://{}", platform_log.local_addr());
     if settings.account_keys.is_empty() {
         settings.account_keys.insert(DEMO_ACCOUNT.0.to_owned(), DEMO_ACCOUNT.1.to_owned());
@@ -40,27 +39,27 @@
     let entry = Entry::start(settings.clone(), entry_stop.clone()).await?;
     let mut workers = Vec::new();
     let mut agents = JoinSet::new();
-    for at in 0..settings.standalone.workers {
-        let name = format!("worker-{}", at + 1);
+    for index in 0..settings.standalone.workers {
+        let name = format!("worker-{}", index + 1);
         let sizes = sorrelland_standin::worker::Sizes { name: name.clone(), ..command::default_sizes() };
-        let server = worker_api::start(any, sizes)?;
-        let mut own = settings.clone();
-        own.daemon.name = name;
-        own.daemon.rack = format!("rack-{}", at / RACK_WORKERS + 1);
-        own.daemon.rpc = any;
-        own.agent.worker = format!("http://{}", server.local_addr());
-        own.agent.entries = entry.address().parse().into_iter().collect();
+        let server = worker_api::start(any_port, sizes)?;
+        let mut agent_settings = settings.clone();
+        agent_settings.daemon.name = name;
+        agent_settings.daemon.rack = format!("rack-{}", index / WORKERS_PER_RACK + 1);
+        agent_settings.daemon.rpc = any_port;
+        agent_settings.agent.worker = format!("http://{}", server.local_addr());
+        agent_settings.agent.entries = entry.address().parse().into_iter().collect();
         workers.push(server);
-        let agent = Agent::start(own, agent_stop.clone()).await?;
+        let agent = Agent::start(agent_settings, agent_stop.clone()).await?;
         agents.spawn(agent.run());
     }
     print_hints(&entry.http_address(), &settings);
     let entry = tokio::spawn(entry.run());
     stop.raised().await;
-    // Callers first, so that nothing they wait for loses its agent.
+    // The entry stops first, since its requests in flight need the agents.
     entry_stop.raise();
     if let Err(e) = entry.await {
-        ::log::error!("entry did not stop: {e}");
+        ::log::error!("entry did not stop cleanly: {e}");
     }
     agent_stop.raise();
     while agents.join_next().await.is_some() {}
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,16 +1,15 @@
-//! The request to stop, from a signal or from a test.
+//! Request to stop the process, made by a signal or by a caller.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// A flag that is raised once and can be waited for.
+/// Flag that asks tasks to stop; clones share it, and it is never lowered.
 #[derive(Clone, Debug)]
 pub struct Stop {
     tx: watch::Sender<bool>,
 }
 
 impl Stop {
-    /// Creates a flag that is not raised.
     pub fn new() -> Self {
         Self { tx: watch::Sender::new(false) }
     }
@@ -33,12 +32,10 @@
         stop
     }
 
-    /// Raises the flag.
     pub fn raise(&self) {
         self.tx.send_replace(true);
     }
 
-    /// Returns whether the flag is raised.
     pub fn is_raised(&self) -> bool {
         *self.tx.borrow()
     }
@@ -46,7 +43,7 @@
     /// Waits until the flag is raised.
     pub async fn raised(&self) {
         let mut rx = self.tx.subscribe();
-        // The sender is part of this flag, so the channel cannot close while it is awaited.
+        // The channel cannot close meanwhile, since `self` holds its sender.
         let _ = rx.wait_for(|raised| *raised).await;
     }
 }
