--- a/crates/spec/src/fold.rs
+++ b/crates/spec/src/fold.rs
@@ -1,4 +1,5 @@
-//! The fold of the configuration: operators race, answers are lost and commands sent again, readers restart.
+//! Model of the configuration fold: operators send commands concurrently, replies are lost and commands repeated,
+//! and readers restart.
 
 use sorrelland_core::account::Account;
 use sorrelland_core::id::AccountId;
@@ -6,134 +7,139 @@
 
 use crate::check::Model;
 
-/// Records that are explored.
-const LOG_LIMIT: usize = 6;
+/// Bound of the search, in records on the log.
+const MAX_RECORDS: usize = 6;
 
-/// What is left out to show that a property can fail.
+/// The correct model, or one that breaks a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// Nothing.
-    Whole,
-    /// Commands do not tell the version that they were written against.
+    /// Breaks no rule.
+    Correct,
+    /// Breaks the rule that a command names the version it is based on: the latest version is assumed instead.
     NoBase,
-    /// A reader that starts again folds from nothing without a snapshot of what is gone.
+    /// Breaks the rule that a restarted reader begins with a snapshot: it folds only the records still on the log.
     NoSnapshot,
 }
 
-/// The model.
 #[derive(Clone, Copy, Debug)]
-pub struct Config {
-    /// What is left out.
+pub struct FoldModel {
     pub variant: Variant,
 }
 
-/// A command of an operator: who, and the version that it was written against.
+/// Command on the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Sent {
+struct LoggedCommand {
     operator: u8,
+    /// Version that the command is based on.
     base: u64,
+    /// 1 if the operator sent the command again after a lost reply.
     copy: u8,
 }
 
-/// The log, how far each of two readers is, and where a reader's fold began.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    log: Vec<Sent>,
+    log: Vec<LoggedCommand>,
+    /// Offset of the oldest record that the log retains.
     first: usize,
     readers: [Reader; 2],
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Reader {
+    /// Offset at which the fold began.
     from: usize,
+    /// Offset after the last folded record.
     next: usize,
 }
 
-impl Model for Config {
+impl Model for FoldModel {
     type State = State;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         let reader = Reader { from: 0, next: 0 };
         State { log: Vec::new(), first: 0, readers: [reader, reader] }
     }
 
     fn steps(&self, state: &State) -> Vec<(String, State)> {
         let mut steps = Vec::new();
-        for (at, reader) in state.readers.iter().enumerate() {
-            let seen = self.fold(state, reader);
-            if state.log.len() < LOG_LIMIT {
-                let base = seen.versions.values().copied().max().unwrap_or_default();
-                let sent = Sent { operator: at as u8, base, copy: 0 };
+        for (index, reader) in state.readers.iter().enumerate() {
+            let reader_fold = self.fold(state, reader);
+            if state.log.len() < MAX_RECORDS {
+                let base = reader_fold.versions.values().copied().max().unwrap_or_default();
+                let sent = LoggedCommand { operator: index as u8, base, copy: 0 };
                 if !state.log.contains(&sent) {
                     let mut next = state.clone();
                     next.log.push(sent);
-                    steps.push((format!("operator {at} sends against version {}", sent.base), next));
+                    steps.push((
+                        format!("operator {index} sends a command based on version {}", sent.base),
+                        next,
+                    ));
                 }
             }
             if reader.next < state.log.len() {
                 let mut next = state.clone();
-                next.readers[at].next += 1;
-                steps.push((format!("reader {at} folds"), next));
+                next.readers[index].next += 1;
+                steps.push((format!("reader {index} folds a record"), next));
             }
             if self.variant == Variant::NoSnapshot && reader.next > 0 {
                 let mut next = state.clone();
-                next.readers[at] = Reader { from: state.first, next: state.log.len() };
-                steps.push((format!("reader {at} starts again"), next));
+                next.readers[index] = Reader { from: state.first, next: state.log.len() };
+                steps.push((format!("reader {index} restarts"), next));
             }
         }
         if let Some(last) = state.log.last().copied()
             && last.copy == 0
-            && state.log.len() < LOG_LIMIT
+            && state.log.len() < MAX_RECORDS
         {
             let mut next = state.clone();
-            next.log.push(Sent { copy: 1, ..last });
-            steps.push((format!("operator {} sends again after a lost answer", last.operator), next));
+            next.log.push(LoggedCommand { copy: 1, ..last });
+            steps.push((format!("operator {} repeats a command after a lost reply", last.operator), next));
         }
         if state.first < state.log.len().min(2) {
             let mut next = state.clone();
             next.first += 1;
-            steps.push(("the log drops its oldest record".to_owned(), next));
+            steps.push(("the log removes its oldest record".to_owned(), next));
         }
         steps
     }
 
-    fn violated(&self, state: &State) -> Option<&'static str> {
+    fn violated_property(&self, state: &State) -> Option<&'static str> {
         let [a, b] = state.readers.map(|reader| self.fold(state, &reader));
         if a.next_offset == b.next_offset && a != b {
             return Some("folds at the same offset agree");
         }
         let full = self.fold(state, &Reader { from: 0, next: state.log.len() });
-        let mut won: Vec<Sent> = Vec::new();
-        for (_, sent) in (0..).zip(&state.log).filter(|(offset, _)| accepted(&full, *offset)) {
-            if won.iter().any(|other| other.base == sent.base && other.operator == sent.operator) {
+        let mut winners: Vec<LoggedCommand> = Vec::new();
+        for (_, sent) in (0..).zip(&state.log).filter(|(offset, _)| is_accepted(&full, *offset)) {
+            if winners.iter().any(|other| other.base == sent.base && other.operator == sent.operator) {
                 return Some("a command that is sent again stands once");
             }
-            if won.iter().any(|other| other.base == sent.base) {
+            if winners.iter().any(|other| other.base == sent.base) {
                 return Some("of commands against one version at most one is accepted");
             }
-            won.push(*sent);
+            winners.push(*sent);
         }
         None
     }
 }
 
-fn accepted(fold: &Fold, offset: u64) -> bool {
+fn is_accepted(fold: &Fold, offset: u64) -> bool {
     let row = fold.history.iter().find(|row| row.offset == offset);
     row.is_some_and(|row| matches!(row.outcome, CommandOutcome::Accepted { .. }))
 }
 
-impl Config {
+impl FoldModel {
     fn fold(&self, state: &State, reader: &Reader) -> Fold {
         let mut fold = Fold::new();
         fold.next_offset = reader.from as u64;
         for (offset, sent) in state.log.iter().enumerate().take(reader.next).skip(reader.from) {
             let record = self.record(sent, &fold);
-            fold.apply(offset as u64, &record).expect("records are folded in order");
+            fold.apply(offset as u64, &record).expect("records must be folded in order");
         }
         fold
     }
 
-    fn record(&self, sent: &Sent, fold: &Fold) -> Record {
+    fn record(&self, sent: &LoggedCommand, fold: &Fold) -> Record {
         let account = AccountId::new("x");
         let base = match self.variant {
             Variant::NoBase => fold.versions.values().copied().max().unwrap_or_default(),
--- a/crates/spec/src/gang.rs
+++ b/crates/spec/src/gang.rs
@@ -1,5 +1,5 @@
-//! Gang commit with leases and epochs: two members, a second attempt elsewhere, lost, late and repeated
-//! messages, a crash, pauses past the lease.
+//! Model of gang commit with leases and epochs: two members, a second attempt on other workers, lost, late and
+//! repeated messages, a crash of a member, and pauses longer than the lease.
 
 use std::collections::BTreeSet;
 
@@ -9,57 +9,55 @@
 
 use crate::check::Model;
 
-/// Lease of members, in steps of time.
-const LEASE: Millis = 1;
+/// Lease of members and tasks, in time steps.
+const LEASE_STEPS: Millis = 1;
 
-/// Steps of time that are explored.
-const HORIZON: Millis = 4;
+/// Bound of the search, in time steps.
+const MAX_TIME: Millis = 4;
 
-/// The attempt that is explored.
+/// Epoch of the attempt on the two members.
 const EPOCH: u64 = 1;
 
-/// What is left out to show that a property can fail.
+/// The correct model, or one that breaks a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// Nothing: the protocol as the daemon has it.
-    Whole,
-    /// A member starts its tasks as soon as it holds, without the barrier.
+    /// Breaks no rule.
+    Correct,
+    /// Breaks the barrier: a member starts its tasks as soon as it holds its slots.
     NoBarrier,
-    /// The claimant starts the next attempt without fencing the one before.
+    /// Breaks the rule that the claimant fences an attempt before it starts the next.
     NoFence,
-    /// Workers go on with tasks whose lease has ended.
+    /// Breaks the rule that a worker stops tasks whose lease has expired.
     NoWorkerLease,
-    /// A member takes a reservation that was meant for an earlier life of its agent.
-    AnyLife,
-    /// The claimant does not wait until silent members must have stopped.
-    NoSettling,
+    /// Breaks the rule that a member refuses a reservation for an earlier incarnation of its agent.
+    AnyIncarnation,
+    /// Breaks the rule that the claimant waits until the leases of members it cannot reach have expired.
+    NoLeaseWait,
 }
 
-/// The model.
 #[derive(Clone, Copy, Debug)]
-pub struct Gang {
-    /// What is left out.
+pub struct GangModel {
     pub variant: Variant,
 }
 
-/// A message on its way: a reservation may arrive late and any number of times, the others late or never.
+/// Message in flight: a reservation may arrive late and any number of times, the others late or never.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
-    Reserve { member: usize, epoch: u64, life: u64 },
-    Renew { member: usize, epoch: u64, life: u64, sent: Millis, finished: bool },
-    Answer { member: usize, epoch: u64, life: u64, sent: Millis, finished: bool, verdict: RenewalReply },
+    Reserve { member: usize, epoch: u64, incarnation: u64 },
+    Renew { member: usize, epoch: u64, incarnation: u64, sent: Millis, finished: bool },
+    Reply { member: usize, epoch: u64, incarnation: u64, sent: Millis, finished: bool, reply: RenewalReply },
 }
 
 impl Message {
     fn is_renewal_of(&self, of: usize) -> bool {
         match self {
-            Self::Renew { member, .. } | Self::Answer { member, .. } => *member == of,
+            Self::Renew { member, .. } | Self::Reply { member, .. } => *member == of,
             Self::Reserve { .. } => false,
         }
     }
 }
 
-/// Tasks that a worker runs under a lease.
+/// Tasks that a member's worker runs under a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Task {
     epoch: u64,
@@ -74,13 +72,20 @@
     commit: CommitPoint,
     tasks: [Option<Task>; 2],
     messages: BTreeSet<Message>,
-    elsewhere: bool,
+    /// Whether the claimant has started the next attempt, on other workers.
+    next_attempt_started: bool,
+    /// Whether the claimant has given up the attempt.
     fencing: bool,
+    /// Members that the claimant has fenced.
     fenced: BTreeSet<usize>,
+    /// Time of the claimant's first fencing.
     fenced_at: Option<Millis>,
-    lives: [u64; 2],
+    incarnations: [u64; 2],
+    /// Epochs that have been committed.
     committed: BTreeSet<u64>,
+    /// Greatest fenced epoch of each member; unlike the members' own fences it survives a crash.
     fenced_epochs: [u64; 2],
+    /// Whether a member accepted the result of a fenced epoch.
     late_result: bool,
 }
 
@@ -92,24 +97,24 @@
     WorkerId::new(["a", "b"][member])
 }
 
-impl Model for Gang {
+impl Model for GangModel {
     type State = State;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             now: 0,
             members: [Member::new(), Member::new()],
-            commit: CommitPoint::new(LEASE),
+            commit: CommitPoint::new(LEASE_STEPS),
             tasks: [None, None],
             messages: BTreeSet::from([
-                Message::Reserve { member: 0, epoch: EPOCH, life: 0 },
-                Message::Reserve { member: 1, epoch: EPOCH, life: 0 },
+                Message::Reserve { member: 0, epoch: EPOCH, incarnation: 0 },
+                Message::Reserve { member: 1, epoch: EPOCH, incarnation: 0 },
             ]),
-            elsewhere: false,
+            next_attempt_started: false,
             fencing: false,
             fenced: BTreeSet::new(),
             fenced_at: None,
-            lives: [0, 0],
+            incarnations: [0, 0],
             committed: BTreeSet::new(),
             fenced_epochs: [0, 0],
             late_result: false,
@@ -130,19 +135,19 @@
             self.member_steps(state, member, &mut steps);
         }
         self.claimant_steps(state, &mut steps);
-        if state.now < HORIZON {
-            steps.push(("time passes".to_owned(), self.pass_time(state)));
+        if state.now < MAX_TIME {
+            steps.push(("time advances".to_owned(), self.advance_time(state)));
         }
         steps.retain(|(_, next)| next != state);
         steps
     }
 
-    fn violated(&self, state: &State) -> Option<&'static str> {
+    fn violated_property(&self, state: &State) -> Option<&'static str> {
         let running: BTreeSet<u64> = state.tasks.iter().flatten().map(|task| task.epoch).collect();
         if !running.is_subset(&state.committed) {
             return Some("no member runs while its gang is not committed");
         }
-        if state.elsewhere && !running.is_empty() {
+        if state.next_attempt_started && !running.is_empty() {
             return Some("two attempts never run at the same time");
         }
         if state.late_result {
@@ -152,38 +157,38 @@
     }
 }
 
-impl Gang {
+impl GangModel {
     fn deliver(&self, state: &mut State, message: &Message) {
         match *message {
-            Message::Reserve { member, epoch, life } => {
-                if life == state.lives[member] || self.variant == Variant::AnyLife {
+            Message::Reserve { member, epoch, incarnation } => {
+                if incarnation == state.incarnations[member] || self.variant == Variant::AnyIncarnation {
                     self.reserve(state, member, epoch);
                 }
             }
-            Message::Renew { member, epoch, life, sent, finished } => {
-                let verdict = state.commit.renew(&job(), Epoch(epoch), &worker(member), finished, state.now);
-                note_commit(state);
-                state.messages.insert(Message::Answer { member, epoch, life, sent, finished, verdict });
+            Message::Renew { member, epoch, incarnation, sent, finished } => {
+                let reply = state.commit.renew(&job(), Epoch(epoch), &worker(member), finished, state.now);
+                record_commit(state);
+                state.messages.insert(Message::Reply { member, epoch, incarnation, sent, finished, reply });
             }
-            Message::Answer { member, epoch, life, sent, finished, verdict } => {
-                // An answer reaches the process that asked, or nobody.
-                if life == state.lives[member] {
-                    self.answer(state, member, epoch, sent, finished, verdict);
+            Message::Reply { member, epoch, incarnation, sent, finished, reply } => {
+                // A reply reaches only the incarnation that sent the renewal.
+                if incarnation == state.incarnations[member] {
+                    self.apply_reply(state, member, epoch, sent, finished, reply);
                 }
             }
         }
     }
 
     fn reserve(&self, state: &mut State, member: usize, epoch: u64) {
-        let held = state.members[member].reserve(&job(), Epoch(epoch), &worker(0), state.now + LEASE);
-        if held.is_err() {
+        let result = state.members[member].reserve(&job(), Epoch(epoch), &worker(0), state.now + LEASE_STEPS);
+        if result.is_err() {
             return;
         }
         if member == 0 {
             state.commit.open(&job(), Epoch(epoch), [worker(0), worker(1)], state.now);
         }
         if self.variant == Variant::NoBarrier {
-            state.tasks[member] = Some(Task { epoch, lease_end: state.now + LEASE });
+            state.tasks[member] = Some(Task { epoch, lease_end: state.now + LEASE_STEPS });
         }
     }
 
@@ -198,32 +203,32 @@
         }
     }
 
-    fn answer(
+    fn apply_reply(
         &self,
         state: &mut State,
         member: usize,
         epoch: u64,
         sent: Millis,
         finished: bool,
-        verdict: RenewalReply,
+        reply: RenewalReply,
     ) {
-        let (now, epoch_of) = (state.now, Epoch(epoch));
+        let (now, token) = (state.now, Epoch(epoch));
         let holds = &mut state.members[member];
-        match verdict {
+        match reply {
             RenewalReply::Stop => self.fence(state, member, epoch),
             RenewalReply::Wait => {
-                // A lapsed hold is not extended.
-                let _ = holds.extend_lease(&job(), epoch_of, sent, LEASE, now);
+                // The lease of an expired hold is not extended.
+                let _ = holds.extend_lease(&job(), token, sent, LEASE_STEPS, now);
             }
             RenewalReply::Go if finished => {
-                holds.fence(&job(), epoch_of);
+                holds.fence(&job(), token);
                 state.fenced_epochs[member] = state.fenced_epochs[member].max(epoch);
             }
             RenewalReply::Go => {
-                let renewed = holds.extend_lease(&job(), epoch_of, sent, LEASE, now);
-                let starts = renewed.and_then(|()| holds.pass_barrier(&job(), epoch_of, now));
+                let renewed = holds.extend_lease(&job(), token, sent, LEASE_STEPS, now);
+                let must_start = renewed.and_then(|()| holds.pass_barrier(&job(), token, now));
                 let lease_end = holds.holds().get(&job()).map_or(now, |hold| hold.lease_end_ms);
-                match starts {
+                match must_start {
                     Ok(true) => state.tasks[member] = Some(Task { epoch, lease_end }),
                     Ok(false) => {
                         if let Some(task) = &mut state.tasks[member] {
@@ -240,17 +245,17 @@
         if let Some(hold) = state.members[member].holds().get(&job()) {
             let finished = hold.phase == Phase::Finished;
             let mut next = state.clone();
-            let (epoch, life, sent) = (hold.epoch.0, state.lives[member], state.now);
-            // A renewal that is sent again stands for the loss of the one before or of its answer.
+            let (epoch, incarnation, sent) = (hold.epoch.0, state.incarnations[member], state.now);
+            // A new renewal replaces the one in flight, which models the loss of that message or of its reply.
             next.messages.retain(|message| !message.is_renewal_of(member));
-            next.messages.insert(Message::Renew { member, epoch, life, sent, finished });
+            next.messages.insert(Message::Renew { member, epoch, incarnation, sent, finished });
             steps.push((format!("member {member} renews"), next));
             let mut next = state.clone();
-            let lapsed = next.members[member].expire(state.now);
-            if !lapsed.is_empty() {
+            let expired = next.members[member].expire(state.now);
+            if !expired.is_empty() {
                 next.fenced_epochs[member] = next.fenced_epochs[member].max(epoch);
                 next.tasks[member] = None;
-                steps.push((format!("member {member} sees its lease end"), next));
+                steps.push((format!("lease of member {member} expires"), next));
             }
         }
         if let Some(task) = state.tasks[member] {
@@ -260,15 +265,15 @@
             next.late_result |= accepted && task.epoch <= state.fenced_epochs[member];
             steps.push((format!("tasks of member {member} end"), next));
         }
-        if member == 1 && state.lives[1] == 0 {
-            // The new life finds the tasks of the old one on the worker and stops them.
+        if member == 1 && state.incarnations[1] == 0 {
+            // The new incarnation stops the tasks of the old one on the worker and fences their epoch.
             let mut next = state.clone();
             next.members[1] = Member::new();
-            next.lives[1] += 1;
+            next.incarnations[1] += 1;
             if let Some(task) = next.tasks[1].take() {
                 next.members[1].fence(&job(), Epoch(task.epoch));
             }
-            steps.push(("member 1 crashes and starts again".to_owned(), next));
+            steps.push(("member 1 crashes and restarts".to_owned(), next));
         }
     }
 
@@ -276,11 +281,11 @@
         if !state.fencing {
             let mut next = state.clone();
             next.commit.request_commit(&job(), Epoch(EPOCH), state.now);
-            note_commit(&mut next);
-            steps.push(("claimant asks to commit".to_owned(), next));
+            record_commit(&mut next);
+            steps.push(("claimant requests the commit".to_owned(), next));
             let mut next = state.clone();
             next.fencing = true;
-            steps.push(("claimant gives the attempt up".to_owned(), next));
+            steps.push(("claimant gives up the attempt".to_owned(), next));
             return;
         }
         for member in 0..2 {
@@ -292,26 +297,29 @@
                 steps.push((format!("claimant stops member {member}"), next));
             }
         }
-        if self.may_go_on(state) {
+        if self.may_start_next(state) {
             let mut next = state.clone();
-            next.elsewhere = true;
+            next.next_attempt_started = true;
             steps.push(("claimant starts the next attempt on other workers".to_owned(), next));
         }
     }
 
-    /// A fenced member breaks the gang: the commit point lapses within one lease, the other within another.
-    fn may_go_on(&self, state: &State) -> bool {
+    /// Returns whether the claimant may start the next attempt.
+    ///
+    /// Once a member is fenced, the commit point stops the gang within one lease, and the other member's lease expires
+    /// within a second one.
+    fn may_start_next(&self, state: &State) -> bool {
         match self.variant {
             Variant::NoFence => true,
-            Variant::NoSettling => !state.fenced.is_empty(),
+            Variant::NoLeaseWait => !state.fenced.is_empty(),
             _ => {
-                let settled = state.fenced_at.is_some_and(|at| state.now >= at + 2 * LEASE);
-                state.fenced.len() == 2 || settled
+                let leases_expired = state.fenced_at.is_some_and(|at| state.now >= at + 2 * LEASE_STEPS);
+                state.fenced.len() == 2 || leases_expired
             }
         }
     }
 
-    fn pass_time(&self, state: &State) -> State {
+    fn advance_time(&self, state: &State) -> State {
         let mut next = state.clone();
         next.now += 1;
         next.commit.expire(next.now);
@@ -324,7 +332,7 @@
     }
 }
 
-fn note_commit(state: &mut State) {
+fn record_commit(state: &mut State) {
     if let Some((epoch, _)) = state.commit.state(&job())
         && state.commit.ever_committed(&job())
     {
--- a/crates/spec/src/key.rs
+++ b/crates/spec/src/key.rs
@@ -1,46 +1,48 @@
-//! At-most-once by key: two entries hand the same key over while its home restarts and forgets.
+//! Model of at-most-once execution by key: two entries deliver the same key while its home restarts and expires old
+//! keys.
 
 use sorrelland_core::id::WorkerId;
 use sorrelland_lease::{Key, KeyStatus, KeyTable};
 
 use crate::check::Model;
 
-/// Lives of the home that are explored.
-const LIVES: u64 = 3;
+/// Bound of the search, in incarnations of the home.
+const MAX_INCARNATIONS: u64 = 3;
 
-/// Deliveries of the key that are explored.
-const DELIVERIES: u8 = 4;
+/// Bound of the search, in deliveries of the key.
+const MAX_DELIVERIES: u8 = 4;
 
-/// What is left out to show that a property can fail.
+/// The correct model, or one that breaks a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// Nothing.
-    Whole,
-    /// A home takes keys of its earlier lives.
-    AnyLife,
-    /// A home takes keys whose window it has forgotten.
+    /// Breaks no rule.
+    Correct,
+    /// Breaks the rule that a home runs no key of an earlier incarnation.
+    AnyIncarnation,
+    /// Breaks the rule that a home runs no key of an expired window.
     AnyWindow,
-    /// A home that is full forgets that it refused.
+    /// Breaks the rule that a key, once refused by a full table, never runs.
     NoSeal,
 }
 
-/// The model.
 #[derive(Clone, Copy, Debug)]
-pub struct Keys {
-    /// What is left out.
+pub struct KeyModel {
     pub variant: Variant,
 }
 
-/// State of the home and what callers were told.
+/// State of the home and of the key with nonce 1.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     table: KeyTable<bool>,
-    life: u64,
+    incarnation: u64,
     deliveries: u8,
+    /// Number of times that the key's work started.
     runs: u8,
     running: bool,
-    told_not_run: bool,
-    others: u8,
+    /// Whether a caller received the reply that the key did not run.
+    reported_not_run: bool,
+    /// Number of other keys delivered, which fill the table.
+    other_keys: u8,
 }
 
 fn home() -> WorkerId {
@@ -51,32 +53,32 @@
     Key { window: KeyTable::<bool>::new(&home(), 1).window().clone(), nonce }
 }
 
-fn table(life: u64) -> KeyTable<bool> {
-    KeyTable::new(&home(), life).with_capacity(2)
+fn table(incarnation: u64) -> KeyTable<bool> {
+    KeyTable::new(&home(), incarnation).with_capacity(2)
 }
 
-impl Model for Keys {
+impl Model for KeyModel {
     type State = State;
 
-    fn start(&self) -> State {
+    fn initial_state(&self) -> State {
         State {
             table: table(1),
-            life: 1,
+            incarnation: 1,
             deliveries: 0,
             runs: 0,
             running: false,
-            told_not_run: false,
-            others: 0,
+            reported_not_run: false,
+            other_keys: 0,
         }
     }
 
     fn steps(&self, state: &State) -> Vec<(String, State)> {
         let mut steps = Vec::new();
-        if state.deliveries < DELIVERIES {
+        if state.deliveries < MAX_DELIVERIES {
             let mut next = state.clone();
             next.deliveries += 1;
             self.deliver(&mut next);
-            steps.push(("the key is handed over".to_owned(), next));
+            steps.push(("the key is delivered".to_owned(), next));
         }
         if state.running {
             let mut next = state.clone();
@@ -84,43 +86,43 @@
             next.table.record_outcome(&key(1), true);
             steps.push(("the work ends".to_owned(), next));
         }
-        if state.others < 2 {
+        if state.other_keys < 2 {
             let mut next = state.clone();
-            next.others += 1;
-            next.table.begin(&key(10 + u128::from(state.others)));
-            steps.push(("another key is handed over".to_owned(), next));
+            next.other_keys += 1;
+            next.table.begin(&key(10 + u128::from(state.other_keys)));
+            steps.push(("another key is delivered".to_owned(), next));
         }
         if state.table.window().number < 4 {
             let mut next = state.clone();
             next.table.open_next_window();
             steps.push(("the next window opens".to_owned(), next));
         }
-        if state.life < LIVES {
+        if state.incarnation < MAX_INCARNATIONS {
             let mut next = state.clone();
-            next.life += 1;
+            next.incarnation += 1;
             next.running = false;
-            next.table = table(next.life);
-            steps.push(("the home starts again".to_owned(), next));
+            next.table = table(next.incarnation);
+            steps.push(("the home restarts".to_owned(), next));
         }
         steps
     }
 
-    fn violated(&self, state: &State) -> Option<&'static str> {
+    fn violated_property(&self, state: &State) -> Option<&'static str> {
         if state.runs > 1 {
             return Some("a key's work begins at most once");
         }
-        if state.told_not_run && state.runs > 0 {
+        if state.reported_not_run && state.runs > 0 {
             return Some("not run implies never begun");
         }
         None
     }
 }
 
-impl Keys {
+impl KeyModel {
     fn deliver(&self, state: &mut State) {
         let mut key = key(1);
-        if self.variant == Variant::AnyLife {
-            key.window.incarnation = state.life;
+        if self.variant == Variant::AnyIncarnation {
+            key.window.incarnation = state.incarnation;
         }
         if self.variant == Variant::AnyWindow {
             key.window.number = state.table.window().number;
@@ -131,10 +133,10 @@
                 state.running = true;
             }
             KeyStatus::Full => {
-                state.told_not_run = true;
+                state.reported_not_run = true;
                 if self.variant == Variant::NoSeal {
-                    let life = state.life;
-                    state.table = table(life);
+                    let incarnation = state.incarnation;
+                    state.table = table(incarnation);
                 }
             }
             KeyStatus::Running | KeyStatus::Ended(_) | KeyStatus::Unknown => {}
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,7 +1,8 @@
-//! Model checking of the core protocol by exhaustive search over small bounds.
+//! Model checking of the core protocol by exhaustive search of small state spaces.
 //!
-//! The transitions run the daemon's own code for members, commit points, keys and the fold; only messages,
-//! time and failures are modelled. Each model has broken variants that its properties must catch.
+//! The transitions run the production code of members, commit points, key tables and the fold; only messages, time
+//! and failures are modelled. Each model has variants that break one rule, so that a test can show that the
+//! properties detect it.
 
 pub mod check;
 pub mod fold;
--- a/crates/spec/tests/protocol.rs
+++ b/crates/spec/tests/protocol.rs
@@ -1,9 +1,9 @@
-//! The core protocol holds in every reachable state, and each broken variant is caught with its trace.
+//! Model-checking tests: the correct models violate no property, and each broken variant violates the expected one.
 
 use sorrelland_spec::check::{Model, Outcome, check};
-use sorrelland_spec::fold::{Config, Variant as ConfigVariant};
-use sorrelland_spec::gang::{Gang, Variant as GangVariant};
-use sorrelland_spec::key::{Keys, Variant as KeyVariant};
+use sorrelland_spec::fold::{FoldModel, Variant as FoldVariant};
+use sorrelland_spec::gang::{GangModel, Variant as GangVariant};
+use sorrelland_spec::key::{KeyModel, Variant as KeyVariant};
 
 fn holds(name: &str, model: &impl Model) {
     match check(model) {
@@ -14,7 +14,7 @@
 
 fn caught(name: &str, model: &impl Model) -> &'static str {
     match check(model) {
-        Outcome::Holds { states } => panic!("{name}: not caught in {states} states"),
+        Outcome::Holds { states } => panic!("{name}: no property violated in {states} states"),
         Outcome::Violated { property, trace } => {
             println!("{name}: {property}, after\n  {}", trace.join("\n  "));
             property
@@ -23,44 +23,44 @@
 }
 
 #[test]
-fn gang_whole_holds() {
-    holds("gang", &Gang { variant: GangVariant::Whole });
+fn check_correct_gang() {
+    holds("gang", &GangModel { variant: GangVariant::Correct });
 }
 
 #[test]
-fn keys_whole_hold() {
-    holds("keys", &Keys { variant: KeyVariant::Whole });
+fn check_correct_keys() {
+    holds("keys", &KeyModel { variant: KeyVariant::Correct });
 }
 
 #[test]
-fn config_whole_holds() {
-    holds("config", &Config { variant: ConfigVariant::Whole });
+fn check_correct_fold() {
+    holds("fold", &FoldModel { variant: FoldVariant::Correct });
 }
 
 #[yare::parameterized(
     no_barrier = { GangVariant::NoBarrier, "no member runs while its gang is not committed" },
     no_fence = { GangVariant::NoFence, "two attempts never run at the same time" },
     no_worker_lease = { GangVariant::NoWorkerLease, "two attempts never run at the same time" },
-    any_life = { GangVariant::AnyLife, "no result of an epoch is accepted after fencing" },
-    no_settling = { GangVariant::NoSettling, "two attempts never run at the same time" },
+    any_incarnation = { GangVariant::AnyIncarnation, "no result of an epoch is accepted after fencing" },
+    no_lease_wait = { GangVariant::NoLeaseWait, "two attempts never run at the same time" },
 )]
-fn gang_broken(variant: GangVariant, property: &str) {
-    assert_eq!(caught("gang", &Gang { variant }), property);
+fn check_broken_gang(variant: GangVariant, property: &str) {
+    assert_eq!(caught("gang", &GangModel { variant }), property);
 }
 
 #[yare::parameterized(
-    any_life = { KeyVariant::AnyLife, "a key's work begins at most once" },
+    any_incarnation = { KeyVariant::AnyIncarnation, "a key's work begins at most once" },
     any_window = { KeyVariant::AnyWindow, "a key's work begins at most once" },
     no_seal = { KeyVariant::NoSeal, "not run implies never begun" },
 )]
-fn keys_broken(variant: KeyVariant, property: &str) {
-    assert_eq!(caught("keys", &Keys { variant }), property);
+fn check_broken_keys(variant: KeyVariant, property: &str) {
+    assert_eq!(caught("keys", &KeyModel { variant }), property);
 }
 
 #[yare::parameterized(
-    no_base = { ConfigVariant::NoBase, "of commands against one version at most one is accepted" },
-    no_snapshot = { ConfigVariant::NoSnapshot, "folds at the same offset agree" },
+    no_base = { FoldVariant::NoBase, "of commands against one version at most one is accepted" },
+    no_snapshot = { FoldVariant::NoSnapshot, "folds at the same offset agree" },
 )]
-fn config_broken(variant: ConfigVariant, property: &str) {
-    assert_eq!(caught("config", &Config { variant }), property);
+fn check_broken_fold(variant: FoldVariant, property: &str) {
+    assert_eq!(caught("fold", &FoldModel { variant }), property);
 }
