--- a/crates/daemon/src/agent/authority.rs
+++ b/crates/daemon/src/agent/authority.rs
@@ -11,7 +11,7 @@
 use sorrelland_lease::{CommitPoint, Epoch, Member, RenewalReply};
 use sorrelland_wire::agent::{AgentConfig, GangStatus, Renew, Reserve, ReserveReply};
 
-/// Time after its last use for which the record of a job without a grant is kept.
+/// Retention time of the record of a job without a grant, from the last use of the record.
 pub const RECORD_RETENTION_MS: Millis = 6 * 60 * 60 * 1_000;
 
 /// Time after the grace period for which the freed resources stay set aside for the pending reservation.
--- a/crates/daemon/src/agent/gang.rs
+++ b/crates/daemon/src/agent/gang.rs
@@ -40,7 +40,7 @@
             let agent = self.clone();
             tokio::spawn(async move { agent.yield_resources(&job).await });
         }
-        self.wake.notify_one();
+        self.gang_wake.notify_one();
         reply
     }
 
@@ -66,7 +66,7 @@
     pub(super) async fn gang_loop(self: Arc<Self>) {
         let mut ticks: u64 = 0;
         loop {
-            let _ = tokio::time::timeout(GANG_CHECK_INTERVAL, self.wake.notified()).await;
+            let _ = tokio::time::timeout(GANG_CHECK_INTERVAL, self.gang_wake.notified()).await;
             let now_ms = self.now_ms();
             let expired = lock(&self.authority).expire(now_ms);
             for grant in expired {
@@ -221,7 +221,7 @@
             grant.renewal_due_ms = 0;
         }
         drop(authority);
-        self.wake.notify_one();
+        self.gang_wake.notify_one();
     }
 
     /// Polls the worker's tasks while gangs run.
@@ -264,7 +264,7 @@
                 grant.renewal_due_ms = 0;
             }
             drop(authority);
-            self.wake.notify_one();
+            self.gang_wake.notify_one();
         }
     }
 
--- a/crates/daemon/src/agent/heartbeat.rs
+++ b/crates/daemon/src/agent/heartbeat.rs
@@ -87,7 +87,7 @@
 impl Agent {
     pub(super) async fn heartbeat_loop(self: Arc<Self>) {
         loop {
-            let _ = tokio::time::timeout(HEARTBEAT_CHECK_INTERVAL, self.heartbeat_now.notified()).await;
+            let _ = tokio::time::timeout(HEARTBEAT_CHECK_INTERVAL, self.heartbeat_wake.notified()).await;
             let report_number = lock(&self.authority).report_number;
             let due = lock(&self.heartbeats).start_due(self.now_ms(), report_number);
             for (address, with_report) in due {
--- a/crates/daemon/src/agent/mod.rs
+++ b/crates/daemon/src/agent/mod.rs
@@ -47,8 +47,8 @@
     heartbeats: Mutex<HeartbeatTable>,
     peers: Pool<AgentRpcClient>,
     entries: Pool<EntryRpcClient>,
-    wake: Notify,
-    heartbeat_now: Notify,
+    gang_wake: Notify,
+    heartbeat_wake: Notify,
     origin: Instant,
     stop: Stop,
     metrics: Metrics,
@@ -87,8 +87,8 @@
             address,
             sizes,
             worker,
-            wake: Notify::new(),
-            heartbeat_now: Notify::new(),
+            gang_wake: Notify::new(),
+            heartbeat_wake: Notify::new(),
             origin: Instant::now(),
             stop,
             listener: Mutex::new(Some(listener)),
@@ -122,13 +122,13 @@
             authority.report_number += 1;
         }
         log::info!("agent of {} is stopping and accepts no new work", self.worker_id);
-        self.heartbeat_now.notify_waiters();
+        self.heartbeat_wake.notify_waiters();
         let deadline = Instant::now() + self.settings.daemon.drain;
         while Instant::now() < deadline && !self.is_idle() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        // Sends the last report, so that the entries need not wait for missed heartbeats.
-        self.heartbeat_now.notify_waiters();
+        // Wakes the heartbeat loop to send the last report, so that the entries need not wait for missed heartbeats.
+        self.heartbeat_wake.notify_waiters();
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 
--- a/crates/daemon/src/agent/service.rs
+++ b/crates/daemon/src/agent/service.rs
@@ -45,7 +45,7 @@
     async fn commit(self, _: Context, job: JobId, epoch: Epoch) -> Option<GangState> {
         let now_ms = self.0.now_ms();
         let state = lock(&self.0.authority).commit_point.request_commit(&job, epoch, now_ms);
-        self.0.wake.notify_one();
+        self.0.gang_wake.notify_one();
         state
     }
 
--- a/crates/daemon/src/log_client.rs
+++ b/crates/daemon/src/log_client.rs
@@ -12,7 +12,7 @@
 
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Time that the log holds a read open until there are new records.
+/// Maximum time for which the log holds a read open until there are new records.
 const READ_WAIT_MS: u64 = 1_000;
 
 /// Why a call to the log failed.
