--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -49,7 +49,7 @@
 
     /// Records an agent's heartbeat; the reply carries the configuration if the agent's is out of date.
     fn handle_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatReply {
-        self.metrics.beat();
+        self.metrics.count_heartbeat();
         let has_report = heartbeat.report.is_some();
         let (worker, offset) = (heartbeat.worker.clone(), heartbeat.offset);
         let (report_number, next_ms) = {
--- a/crates/daemon/src/entry/short.rs
+++ b/crates/daemon/src/entry/short.rs
@@ -178,7 +178,7 @@
         if call.remaining_ms() == 0 || !lock(&self.retries).withdraw() {
             return false;
         }
-        self.metrics.retry();
+        self.metrics.count_retry();
         tokio::time::sleep(Duration::from_millis(rand::random_range(1..20))).await;
         true
     }
@@ -228,7 +228,7 @@
         match result {
             Ok(reply) if reply.request == call.request => Attempt::Answered(reply.outcome),
             Ok(reply) => {
-                self.metrics.mismatched();
+                self.metrics.count_mismatched();
                 log::error!(request = call.request; "agent answered a different request: {}", reply.request);
                 Attempt::Unresolved("the agent answered a different request".to_owned())
             }
