--- a/crates/replay/src/args.rs
+++ b/crates/replay/src/args.rs
@@ -3,15 +3,15 @@
 use derive_more::{Display, Error, From};
 use lexopt::{Arg, ValueExt};
 
-use crate::scenario::Name;
-use crate::sim::Policy;
+use crate::scenario::ScenarioName;
+use crate::sim::SchedulerPolicy;
 
-/// Result of reading the command line.
+/// Result of parsing the command line.
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Help text of the program.
 pub const HELP: &str = "\
-sorrelland-replay - replays generated work through the decision core in virtual time
+sorrelland-replay - replays a generated workload through the scheduling core in virtual time
 
 Usage:
   sorrelland-replay --scenario NAME --policy NAME --seed N [--seeds N] [--json] [--cost]
@@ -21,68 +21,67 @@
   --scenario NAME   haiphong, consortium or fleet
   --policy NAME     core, naive, areas, patient or greedy [core]
   --seed N          first seed [1]
-  --seeds N         how many seeds, counting up [1]
-  --json            one JSON object a line instead of text
-  --cost            tell the cost of the passes on standard error
-  --slopes          measure the cost of one pass against workers, running jobs and queue length
+  --seeds N         number of consecutive seeds to replay [1]
+  --json            print one JSON object per line instead of text
+  --cost            print the scheduling pass times on standard error
+  --slopes          measure the time of a scheduling pass for growing numbers of workers, running tasks and
+                    waiting jobs
   --help            print this text
 
-The same scenario, policy and seed give the same bytes on standard output, but for --slopes.
+The same scenario, policy and seed give byte-identical standard output, except with --slopes.
 ";
 
-/// The whole command line.
+/// Parsed command line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Args {
-    /// Whether only the help text is wanted.
+    /// Whether to print only the help text.
     pub help: bool,
-    /// Whether the slopes are measured.
+    /// Whether to measure how the pass time grows with the table sizes.
     pub slopes: bool,
-    /// Scenario.
-    pub scenario: Name,
-    /// Policy.
-    pub policy: Policy,
+    pub scenario: ScenarioName,
+    pub policy: SchedulerPolicy,
     /// First seed.
     pub seed: u64,
-    /// How many seeds.
+    /// Number of consecutive seeds.
     pub seeds: u64,
-    /// Whether reports are JSON lines.
+    /// Whether to print reports as JSON lines.
     pub json: bool,
-    /// Whether the cost of the passes is told.
+    /// Whether to print the pass times on standard error.
     pub cost: bool,
 }
 
-/// What is wrong with the command line.
+/// Command line error.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// It was malformed.
+    /// An option or value is malformed, unknown or missing.
     #[display("{_0}")]
     Usage(lexopt::Error),
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
 ///
-/// Returns what was malformed.
+/// Returns an error if an option or value is malformed, or if `--scenario` is required but missing.
 pub fn parse(mut parser: lexopt::Parser) -> Result<Args> {
     let mut args = Args {
         help: false,
         slopes: false,
-        scenario: Name::Haiphong,
-        policy: Policy::Core,
+        scenario: ScenarioName::Haiphong,
+        policy: SchedulerPolicy::Core,
         seed: 1,
         seeds: 1,
         json: false,
         cost: false,
     };
-    let mut named = false;
+    let mut scenario_given = false;
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Long("help") | Arg::Short('h') => args.help = true,
             Arg::Long("slopes") => args.slopes = true,
             Arg::Long("scenario") => {
                 args.scenario = parser.value()?.parse()?;
-                named = true;
+                scenario_given = true;
             }
             Arg::Long("policy") => args.policy = parser.value()?.parse()?,
             Arg::Long("seed") => args.seed = parser.value()?.parse()?,
@@ -92,8 +91,8 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    if !named && !args.help && !args.slopes {
-        return Err(lexopt::Error::Custom("--scenario is needed".into()).into());
+    if !scenario_given && !args.help && !args.slopes {
+        return Err(lexopt::Error::Custom("--scenario is required".into()).into());
     }
     Ok(args)
 }
--- a/crates/replay/src/cost.rs
+++ b/crates/replay/src/cost.rs
@@ -1,4 +1,5 @@
-//! The cost of one pass against workers, running jobs and queue length.
+//! Measures how the time of a scheduling pass grows with the numbers of workers, running tasks and waiting
+//! jobs.
 
 use std::time::{Duration, Instant};
 
@@ -13,30 +14,29 @@
 use sorrelland_core::tick::Scheduler;
 use sorrelland_core::topology::{Place, Worker};
 
-/// Size of the tables in one measurement.
+/// Size of the scheduler tables in one measurement.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
-    /// Workers.
+pub struct TableSize {
+    /// Number of workers.
     pub workers: usize,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: usize,
-    /// Jobs that wait.
+    /// Number of waiting jobs.
     pub waiting: usize,
 }
 
-/// The target size.
-pub const TARGET: Size = Size { workers: 730, running: 2_500, waiting: 1_000 };
+/// Size that the scheduler is designed for.
+pub const TARGET_SIZE: TableSize = TableSize { workers: 730, running: 2_500, waiting: 1_000 };
 
-/// Passes of one measurement.
-const PASSES: u32 = 20;
+const PASSES_PER_MEASUREMENT: u32 = 20;
 
-/// Returns the mean and the longest time of one pass.
-pub fn measure(size: Size) -> (Duration, Duration) {
-    let tables = tables(size);
+/// Measures the mean and maximum time of a scheduling pass.
+pub fn measure_pass(size: TableSize) -> (Duration, Duration) {
+    let tables = build_tables(size);
     let mut scheduler = Scheduler::new(Policy::new());
     let mut total = Duration::ZERO;
     let mut longest = Duration::ZERO;
-    for pass in 0..PASSES {
+    for pass in 0..PASSES_PER_MEASUREMENT {
         let started = Instant::now();
         let actions = scheduler.tick(&tables, 10 * HOUR_MS + u64::from(pass) * 100);
         let elapsed = started.elapsed();
@@ -44,63 +44,66 @@
         total += elapsed;
         longest = longest.max(elapsed);
     }
-    (total / PASSES, longest)
+    (total / PASSES_PER_MEASUREMENT, longest)
 }
 
-fn tables(size: Size) -> Tables {
+fn build_tables(size: TableSize) -> Tables {
     let mut rng = StdRng::seed_from_u64(1);
     let mut tables = Tables::new();
-    for at in 0..size.workers {
+    for index in 0..size.workers {
         let place = Place::new(
-            if at * 5 / size.workers < 3 { "region-1" } else { "region-2" },
-            &format!("domain-{}", at * 5 / size.workers),
-            &format!("rack-{:04}", at / 10),
+            if index * 5 / size.workers < 3 { "region-1" } else { "region-2" },
+            &format!("domain-{}", index * 5 / size.workers),
+            &format!("rack-{:04}", index / 10),
         );
-        let accelerators = if at % 73 == 0 { 2 } else { 1 };
-        tables.workers.insert(worker(at), Worker::new(place, Amount::new(8, accelerators)));
+        let accelerators = if index % 73 == 0 { 2 } else { 1 };
+        tables.workers.insert(worker_id(index), Worker::new(place, Amount::new(8, accelerators)));
     }
-    for at in 0..170 {
-        let guarantee = [Shape::new(if at % 17 == 0 { 8 } else { 2 }, 1, Span::Domain)];
-        tables.accounts.insert(account(at), Account::default().with_guarantee(&guarantee));
+    for index in 0..170 {
+        let guarantee = [Shape::new(if index % 17 == 0 { 8 } else { 2 }, 1, Span::Domain)];
+        tables.accounts.insert(account_id(index), Account::default().with_guarantee(&guarantee));
     }
     tables.plan = propose(&tables.accounts, &tables.workers, &tables.plan);
-    fill(&mut tables, size, &mut rng);
-    for at in 0..size.waiting {
+    add_running_jobs(&mut tables, size, &mut rng);
+    for index in 0..size.waiting {
         let tasks = [1, 2, 8, 16, 32, 64][rng.random_range(0..6)];
-        let demand = demand(Shape::new(tasks, 1, Span::Domain), rng.random_range(0..170), &mut rng);
+        let demand = random_demand(Shape::new(tasks, 1, Span::Domain), rng.random_range(0..170), &mut rng);
         let since_ms = 10 * HOUR_MS - rng.random_range(0..10 * MINUTE_MS);
         let waiting = Waiting { demand, since_ms, done_ms: 0 };
-        tables.waiting.insert(JobId::new(&format!("waiting-{at}")), waiting);
+        tables.waiting.insert(JobId::new(&format!("waiting-{index}")), waiting);
     }
     tables
 }
 
-/// Fills every accelerator and as many plain slots as there are running tasks left.
-fn fill(tables: &mut Tables, size: Size, rng: &mut StdRng) {
+/// Adds gangs of 1 to 8 tasks on consecutive workers until `size.running` tasks run.
+///
+/// Gangs that start in the first round over the workers use one accelerator per task; later ones use only
+/// slots.
+fn add_running_jobs(tables: &mut Tables, size: TableSize, rng: &mut StdRng) {
     let mut tasks = 0;
-    let mut at = 0;
+    let mut index = 0;
     while tasks < size.running {
-        let first = at % size.workers;
+        let start = index % size.workers;
         let gang = rng.random_range(1..=8_usize).min(size.running - tasks);
-        let accelerators = u32::from(at < size.workers);
-        let placement: Placement = (0..gang).map(|more| (worker((first + more) % size.workers), 1)).collect();
+        let accelerators = u32::from(index < size.workers);
+        let placement: Placement = (0..gang).map(|i| (worker_id((start + i) % size.workers), 1)).collect();
         let shape = Shape::new(placement.len() as u32, accelerators, Span::Region);
         let running = Running {
-            demand: demand(shape, rng.random_range(0..170), rng),
+            demand: random_demand(shape, rng.random_range(0..170), rng),
             placement,
             since_ms: 8 * HOUR_MS,
             started_ms: 9 * HOUR_MS + rng.random_range(0..HOUR_MS),
             done_ms: 0,
         };
-        tables.running.insert(JobId::new(&format!("running-{at}")), running);
+        tables.running.insert(JobId::new(&format!("running-{index}")), running);
         tasks += gang;
-        at += gang;
+        index += gang;
     }
 }
 
-fn demand(shape: Shape, of: usize, rng: &mut StdRng) -> Demand {
+fn random_demand(shape: Shape, account_index: usize, rng: &mut StdRng) -> Demand {
     Demand {
-        account: account(of),
+        account: account_id(account_index),
         shape,
         class: Class::Normal,
         declared_ms: rng.random_range(HOUR_MS..6 * HOUR_MS),
@@ -108,25 +111,25 @@
     }
 }
 
-fn worker(at: usize) -> WorkerId {
-    WorkerId::new(&format!("worker-{at:04}"))
+fn worker_id(index: usize) -> WorkerId {
+    WorkerId::new(&format!("worker-{index:04}"))
 }
 
-fn account(at: usize) -> AccountId {
-    AccountId::new(&format!("team-{at:03}"))
+fn account_id(index: usize) -> AccountId {
+    AccountId::new(&format!("team-{index:03}"))
 }
 
-/// Returns a table of the cost at the target size and at twice and four times each dimension.
-pub fn slopes() -> String {
+/// Returns a table of the pass times at the target size, and with each dimension scaled by 2 and by 4.
+pub fn scaling_table() -> String {
     let mut lines = vec!["workers  running  waiting     mean  longest".to_owned()];
-    let mut sizes = vec![TARGET];
+    let mut sizes = vec![TARGET_SIZE];
     for factor in [2, 4] {
-        sizes.push(Size { workers: TARGET.workers * factor, ..TARGET });
-        sizes.push(Size { running: TARGET.running * factor, ..TARGET });
-        sizes.push(Size { waiting: TARGET.waiting * factor, ..TARGET });
+        sizes.push(TableSize { workers: TARGET_SIZE.workers * factor, ..TARGET_SIZE });
+        sizes.push(TableSize { running: TARGET_SIZE.running * factor, ..TARGET_SIZE });
+        sizes.push(TableSize { waiting: TARGET_SIZE.waiting * factor, ..TARGET_SIZE });
     }
     for size in sizes {
-        let (mean, longest) = measure(size);
+        let (mean, longest) = measure_pass(size);
         lines.push(format!(
             "{:7}  {:7}  {:7}  {:5.2} ms  {:5.2} ms",
             size.workers,
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,4 +1,4 @@
-//! Replay of the decision core in virtual time: no network, no processes.
+//! Simulation of the scheduling core in virtual time, without network or processes.
 
 pub mod args;
 pub mod cost;
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -1,15 +1,14 @@
-//! Reports as text and as JSON lines.
+//! Formats reports as text.
 
 use crate::measure::{Report, Summary};
 
-/// Returns a report as text.
-pub fn text(report: &Report) -> String {
+pub fn to_text(report: &Report) -> String {
     let mut lines = vec![format!("{} {} seed {}", report.scenario, report.policy, report.seed)];
-    lines.push(line("all", &report.all));
+    lines.push(summary_line("all", &report.all));
     for (size, summary) in &report.sizes {
-        lines.push(line(&format!("{size:?}").to_lowercase(), summary));
+        lines.push(summary_line(&format!("{size:?}").to_lowercase(), summary));
     }
-    lines.push(line("largest", &report.largest));
+    lines.push(summary_line("largest", &report.largest));
     lines.push(format!("fragmentation: {:.3}  stranded: {:.3}", report.fragmentation, report.stranded));
     lines.push(format!("breaches: {}", report.breaches));
     lines.push(format!(
@@ -26,7 +25,7 @@
     lines.join("\n")
 }
 
-fn line(name: &str, s: &Summary) -> String {
+fn summary_line(name: &str, s: &Summary) -> String {
     format!(
         "{name:8} n {:5}  mean {:8.1} s  p50 {:8.1} s  p99 {:8.1} s  slowdown {:7.2}  longest wait {:8.1} s",
         s.jobs, s.mean_s, s.p50_s, s.p99_s, s.slowdown, s.longest_wait_s,
--- a/crates/sorrelland/src/bin/sorrelland-replay.rs
+++ b/crates/sorrelland/src/bin/sorrelland-replay.rs
@@ -7,7 +7,7 @@
 fn main() -> ExitCode {
     match args::parse(lexopt::Parser::from_env()) {
         Ok(args) if args.help => print!("{}", args::HELP),
-        Ok(args) if args.slopes => println!("{}", cost::slopes()),
+        Ok(args) if args.slopes => println!("{}", cost::scaling_table()),
         Ok(args) => replay(&args),
         Err(e) => {
             eprintln!("sorrelland-replay: {e}\n\n{}", args::HELP);
@@ -22,7 +22,7 @@
         let (found, cost) = sim::run(args.scenario, args.policy, seed);
         match args.json {
             true => println!("{}", serde_json::json!(found)),
-            false => println!("{}\n", report::text(&found)),
+            false => println!("{}\n", report::to_text(&found)),
         }
         if args.cost {
             let mean = cost.total / cost.passes.max(1);
