--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of the tool.
+//! Command line of `sorrellandctl`.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use sorrelland_core::shape::Shape;
 use winnow::Parser;
 
-/// Result of reading the command line.
+/// Result of parsing the command line.
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Help text of the program.
 pub const HELP: &str = "\
-sorrellandctl - talks to the entries of sorrelland
+sorrellandctl - sends requests, jobs and operator statements to sorrelland entries
 
 Usage:
   sorrellandctl [options] request JSON [--idempotent] [--deadline-ms N]
@@ -27,37 +27,37 @@
   sorrellandctl [options] --file FILE
   sorrellandctl [options]
 
-The first four are for callers and need an account's key. On the users' platform, --entry is the metrics address
-of any entry, and a VIEW is one of jobs, workers, accounts, refused and burn. A STATEMENT is one of the operators' language
-(docs/LANGUAGE.md) and needs an operator's key. Without a command, statements are read from standard input,
-with a prompt and history on a terminal.
+The first four are for callers and need an account's key. On the users' platform, --entry is the metrics
+address of any entry, and a VIEW is one of jobs, workers, accounts, refused and burn. A STATEMENT is in the
+operators' language (docs/LANGUAGE.md) and needs an operator's key. Without a command, statements are read
+from standard input, with a prompt and history on a terminal.
 
 Options:
   --entry IP:PORT     entry to talk to; may be given more than once [127.0.0.1:8080]
   --key KEY           key of an account or operator [SORRELLAND_KEY]
-  --timeout-ms N      time for an answer [30000]
-  --json              print answers as JSON
+  --timeout-ms N      time limit for a response [30000]
+  --json              print responses as JSON
   --help              print this text
   --version           print the version
 
 Options of request and submit:
-  --idempotent        the request may run more than once; otherwise a key is taken first
-  --deadline-ms N     time until the answer is needed [10000]
+  --idempotent        the request may run more than once; otherwise a request key is created first
+  --deadline-ms N     time until the response is needed [10000]
   --shape SHAPE       tasks x accelerators @ level, such as 2x8@rack
   --class CLASS       batch, normal or urgent [normal]
   --declared-ms N     declared run time [60000]
   --work JSON         work for the upstream [{}]
-  --attached          wait for the outcome; needs no log
-  --pinned            never checkpoint or stop the job for others
-  --once              never start the job again after a failure
+  --attached          wait for the outcome; works without the log
+  --pinned            never checkpoint or stop the job in favour of others
+  --once              never restart the job after a failure
 
 Option of platform burn:
-  --svg FILE          draw the use of the error budget over time as well
+  --svg FILE          also write a chart of the error budget burn over time
 
 Exit status: 0 done, 1 refused or not run, 2 wrong usage, 3 outcome unknown or not known yet, 4 no entry answers
 ";
 
-/// What to do.
+/// Command to run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Print the help text.
@@ -66,19 +66,19 @@
     Version,
     /// Run a short request.
     Request {
-        /// Work for the upstream.
+        /// Work for the upstream, as JSON.
         body: Value,
-        /// Whether it may run more than once.
+        /// Whether the request may run more than once.
         idempotent: bool,
-        /// Time until the answer is needed, in milliseconds.
+        /// Time until the response is needed, in milliseconds.
         deadline_ms: u64,
     },
-    /// Submit a job; the body is as the entry takes it.
+    /// Submit a job.
     Submit {
-        /// Body of the submission.
+        /// Request body in the format of the entry's `/v1/jobs`.
         body: Value,
     },
-    /// Tell what has become of a job.
+    /// Show the state or outcome of a job.
     Job {
         /// Name of the job.
         name: String,
@@ -88,60 +88,53 @@
         /// Name of the job.
         name: String,
     },
-    /// Show what an entry on the platform knows.
+    /// Show a view of an entry on the users' platform.
     Platform {
-        /// Path of the view.
+        /// Path of the view below `/show/`.
         view: String,
-        /// File for a picture.
+        /// File for a chart of the error budget burn.
         svg: Option<String>,
     },
     /// Send one statement.
-    Statement {
-        /// Text of the statement.
-        text: String,
-    },
-    /// Send the statements of a file, one a line.
-    File {
-        /// Path of the file.
-        path: String,
-    },
+    Statement { text: String },
+    /// Send the statements of a file, one per line.
+    File { path: String },
     /// Read statements from standard input.
     Interactive,
 }
 
-/// The whole command line.
+/// Parsed command line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Args {
     /// Addresses of entries, in the order in which they are tried.
     pub entries: Vec<String>,
     /// Key of an account or operator.
     pub key: String,
-    /// Time for an answer.
+    /// Time limit for a response.
     pub timeout: Duration,
-    /// Whether answers are printed as JSON.
+    /// Whether to print responses as JSON.
     pub json: bool,
-    /// What to do.
     pub command: Command,
 }
 
-/// What is wrong with the command line.
+/// Command line error.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// It was malformed.
+    /// An option or value is malformed or unknown, or a command has the wrong arguments.
     #[display("{_0}")]
     Usage(lexopt::Error),
-    /// A value was not JSON.
+    /// A value is not valid JSON.
     #[display("not JSON: {_0}")]
     Json(serde_json::Error),
-    /// A shape was malformed.
+    /// A shape is malformed.
     #[from(skip)]
     #[display("{_0:?} is not a shape; expected one such as 2x8@rack")]
     Shape(#[error(not(source))] String),
 }
 
 #[derive(Default)]
-struct Raw {
-    words: Vec<String>,
+struct RawArgs {
+    positional: Vec<String>,
     idempotent: bool,
     deadline_ms: Option<u64>,
     shape: Option<String>,
@@ -155,11 +148,11 @@
     svg: Option<String>,
 }
 
-/// Reads the command line; `key` is the key from the environment.
+/// Parses the command line; `key` is the key from the environment, which `--key` overrides.
 ///
 /// # Errors
 ///
-/// Returns what was malformed.
+/// Returns an error if an option, a value or the arguments of a command are malformed.
 pub fn parse(mut parser: lexopt::Parser, key: Option<String>) -> Result<Args> {
     let mut args = Args {
         entries: Vec::new(),
@@ -168,7 +161,7 @@
         json: false,
         command: Command::Interactive,
     };
-    let mut raw = Raw::default();
+    let mut raw = RawArgs::default();
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Long("help") | Arg::Short('h') => {
@@ -194,42 +187,42 @@
             Arg::Long("attached") => raw.attached = true,
             Arg::Long("pinned") => raw.pinned = true,
             Arg::Long("once") => raw.once = true,
-            Arg::Value(value) => raw.words.push(value.string()?),
+            Arg::Value(value) => raw.positional.push(value.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
     if args.entries.is_empty() {
         args.entries.push("127.0.0.1:8080".to_owned());
     }
-    args.command = command(raw)?;
+    args.command = build_command(raw)?;
     Ok(args)
 }
 
-fn command(raw: Raw) -> Result<Command> {
+fn build_command(raw: RawArgs) -> Result<Command> {
     if let Some(path) = raw.file {
         return Ok(Command::File { path });
     }
-    let words: Vec<&str> = raw.words.iter().map(String::as_str).collect();
-    match words.as_slice() {
+    let positional: Vec<&str> = raw.positional.iter().map(String::as_str).collect();
+    match positional.as_slice() {
         [] => Ok(Command::Interactive),
         ["request", body] => Ok(Command::Request {
             body: serde_json::from_str(body)?,
             idempotent: raw.idempotent,
             deadline_ms: raw.deadline_ms.unwrap_or(10_000),
         }),
-        ["submit", name] => Ok(Command::Submit { body: submission(name, &raw)? }),
+        ["submit", name] => Ok(Command::Submit { body: submission_body(name, &raw)? }),
         ["job", name] => Ok(Command::Job { name: (*name).to_owned() }),
         ["cancel-job", name] => Ok(Command::CancelJob { name: (*name).to_owned() }),
         ["platform", "why", job] => Ok(Command::Platform { view: format!("why/{job}"), svg: None }),
         ["platform", view] => Ok(Command::Platform { view: (*view).to_owned(), svg: raw.svg }),
         ["request" | "submit" | "job" | "cancel-job" | "platform", ..] => {
-            Err(lexopt::Error::Custom(format!("{} takes one argument", words[0]).into()).into())
+            Err(lexopt::Error::Custom(format!("{} takes one argument", positional[0]).into()).into())
         }
-        _ => Ok(Command::Statement { text: words.join(" ") }),
+        _ => Ok(Command::Statement { text: positional.join(" ") }),
     }
 }
 
-fn submission(name: &str, raw: &Raw) -> Result<Value> {
+fn submission_body(name: &str, raw: &RawArgs) -> Result<Value> {
     let text = raw.shape.as_deref().unwrap_or("1x1@worker");
     let shape: Shape =
         sorrelland_lang::parse::shape.parse(text).map_err(|_| Error::Shape(text.to_owned()))?;
--- a/crates/ctl/src/call.rs
+++ b/crates/ctl/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls to whichever entry answers.
+//! Calls to the first entry that can be reached.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -11,34 +11,33 @@
 /// Result of a call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a call has no answer.
+/// Reason why a call has no response.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// No entry could be reached: nothing was sent.
+    /// No entry could be reached, and the call was not sent.
     #[display("no entry answers: {_0}")]
     NoEntry(#[error(not(source))] String),
-    /// The call may have taken effect.
+    /// The call may have been sent and may have taken effect.
     #[display("no answer: {_0}; the outcome is not known")]
-    Unknown(#[error(not(source))] String),
+    OutcomeUnknown(#[error(not(source))] String),
 }
 
-/// An answer of an entry.
+/// Response of an entry.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
-    /// Status.
+pub struct Response {
     pub status: StatusCode,
-    /// Body as JSON.
+    /// Body; one that is not JSON is held as a string.
     pub body: Value,
 }
 
-/// The entries and how to reach them.
-pub struct Entries {
+/// Client that tries the configured entries in order.
+pub struct EntryClient {
     client: Client,
     addresses: Vec<String>,
 }
 
-impl Entries {
-    /// Creates the calls of a command line.
+impl EntryClient {
+    /// Creates a client from the addresses, key and time limit of a command line.
     pub fn new(args: &Args) -> Self {
         let client = Client::new(args.timeout).with_bearer(&args.key);
         Self { client, addresses: args.entries.clone() }
@@ -48,39 +47,39 @@
     ///
     /// # Errors
     ///
-    /// Returns whether the call may have taken effect.
-    pub async fn call(&self, method: Method, path: &str, body: Option<&Value>) -> Result<Answer> {
+    /// Returns an error that tells whether the call may have taken effect.
+    pub async fn call(&self, method: Method, path: &str, body: Option<&Value>) -> Result<Response> {
         let bytes = body.map(|body| Bytes::from(body.to_string())).unwrap_or_default();
-        let mut last = String::new();
+        let mut last_error = String::new();
         for address in &self.addresses {
             let url = format!("http://{address}{path}");
             match self.client.send(method.clone(), &url, &[], bytes.clone()).await {
                 Ok(reply) => {
                     let text = || Value::String(String::from_utf8_lossy(&reply.body).into_owned());
                     let body = serde_json::from_slice(&reply.body).unwrap_or_else(|_| text());
-                    return Ok(Answer { status: reply.status, body });
+                    return Ok(Response { status: reply.status, body });
                 }
-                // Only a call that was never sent may go to another entry.
-                Err(e) if e.never_sent() => last = format!("{address}: {e}"),
-                Err(e) => return Err(Error::Unknown(format!("{address}: {e}"))),
+                // A call that may have been sent is not repeated: it could take effect twice.
+                Err(e) if e.never_sent() => last_error = format!("{address}: {e}"),
+                Err(e) => return Err(Error::OutcomeUnknown(format!("{address}: {e}"))),
             }
         }
-        Err(Error::NoEntry(last))
+        Err(Error::NoEntry(last_error))
     }
 
-    /// Runs a short request; one that is not idempotent takes a key first.
+    /// Sends a short request. If it is not idempotent, a request key is created first.
     ///
     /// # Errors
     ///
-    /// Returns whether the call may have taken effect.
-    pub async fn request(&self, body: &Value, idempotent: bool, deadline_ms: u64) -> Result<Answer> {
+    /// Returns an error that tells whether the call may have taken effect.
+    pub async fn request(&self, body: &Value, idempotent: bool, deadline_ms: u64) -> Result<Response> {
         let mut call = json!({ "idempotent": idempotent, "deadline_ms": deadline_ms, "body": body });
         if !idempotent {
-            let minted = self.call(Method::POST, "/v1/keys", None).await?;
-            if !minted.status.is_success() {
-                return Ok(minted);
+            let key_response = self.call(Method::POST, "/v1/keys", None).await?;
+            if !key_response.status.is_success() {
+                return Ok(key_response);
             }
-            call["key"] = minted.body["key"].clone();
+            call["key"] = key_response.body["key"].clone();
         }
         self.call(Method::POST, "/v1/requests", Some(&call)).await
     }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The command-line tool for callers and operators.
+//! Command-line tool for callers and operators.
 
 pub mod args;
 pub mod call;
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Carrying out a command line.
+//! Runs the command of a command line.
 
 use std::io::{BufRead, IsTerminal};
 
@@ -7,106 +7,106 @@
 use serde_json::{Value, json};
 
 use crate::args::{Args, Command, HELP};
-use crate::call::{Answer, Entries, Error};
+use crate::call::{EntryClient, Error, Response};
 use crate::{plot, show};
 
-/// Exit status when it is done.
-pub const DONE: u8 = 0;
+/// Exit status of a command that succeeded.
+pub const EXIT_DONE: u8 = 0;
 
-/// Exit status when it was refused or did not run.
-pub const REFUSED: u8 = 1;
+/// Exit status of a command that was refused, failed or did not run.
+pub const EXIT_REFUSED: u8 = 1;
 
-/// Exit status for wrong usage.
-pub const USAGE: u8 = 2;
+/// Exit status for a usage error.
+pub const EXIT_USAGE: u8 = 2;
 
-/// Exit status when the outcome is unknown or not known yet.
-pub const UNKNOWN: u8 = 3;
+/// Exit status for an outcome that is unknown or not known yet.
+pub const EXIT_UNKNOWN: u8 = 3;
 
-/// Exit status when no entry answers.
-pub const NO_ENTRY: u8 = 4;
+/// Exit status if no entry can be reached.
+pub const EXIT_NO_ENTRY: u8 = 4;
 
-/// Carries out a command line and returns the exit status.
+/// Runs the command and returns the exit status.
 pub async fn run(args: &Args) -> u8 {
-    let entries = Entries::new(args);
+    let client = EntryClient::new(args);
     match &args.command {
         Command::Help => {
             print!("{HELP}");
-            DONE
+            EXIT_DONE
         }
         Command::Version => {
             println!("sorrellandctl {}", env!("CARGO_PKG_VERSION"));
-            DONE
+            EXIT_DONE
         }
         Command::Request { body, idempotent, deadline_ms } => {
-            finish(args, entries.request(body, *idempotent, *deadline_ms).await)
+            report(args, client.request(body, *idempotent, *deadline_ms).await)
         }
-        Command::Submit { body } => finish(args, entries.call(Method::POST, "/v1/jobs", Some(body)).await),
+        Command::Submit { body } => report(args, client.call(Method::POST, "/v1/jobs", Some(body)).await),
         Command::Job { name } => {
-            finish(args, entries.call(Method::GET, &format!("/v1/jobs/{name}"), None).await)
+            report(args, client.call(Method::GET, &format!("/v1/jobs/{name}"), None).await)
         }
         Command::CancelJob { name } => {
-            finish(args, entries.call(Method::DELETE, &format!("/v1/jobs/{name}"), None).await)
+            report(args, client.call(Method::DELETE, &format!("/v1/jobs/{name}"), None).await)
         }
         Command::Platform { view, svg } => {
-            let answer = entries.call(Method::GET, &format!("/show/{view}"), None).await;
-            if let (Ok(answer), Some(path)) = (&answer, svg)
-                && let Err(e) = std::fs::write(path, plot::burn(&answer.body))
+            let response = client.call(Method::GET, &format!("/show/{view}"), None).await;
+            if let (Ok(response), Some(path)) = (&response, svg)
+                && let Err(e) = std::fs::write(path, plot::burn_chart(&response.body))
             {
                 eprintln!("{path}: {e}");
-                return USAGE;
+                return EXIT_USAGE;
             }
-            finish(args, answer)
+            report(args, response)
         }
-        Command::Statement { text } => statement(args, &entries, text).await,
+        Command::Statement { text } => run_statement(args, &client, text).await,
         Command::File { path } => match std::fs::read_to_string(path) {
-            Ok(text) => statements(args, &entries, text.lines().map(str::to_owned)).await,
+            Ok(text) => run_statements(args, &client, text.lines().map(str::to_owned)).await,
             Err(e) => {
                 eprintln!("{path}: {e}");
-                USAGE
+                EXIT_USAGE
             }
         },
-        Command::Interactive if std::io::stdin().is_terminal() => interactive(args, &entries).await,
+        Command::Interactive if std::io::stdin().is_terminal() => run_interactive(args, &client).await,
         Command::Interactive => {
             let lines: Vec<String> = std::io::stdin().lock().lines().map_while(Result::ok).collect();
-            statements(args, &entries, lines.into_iter()).await
+            run_statements(args, &client, lines.into_iter()).await
         }
     }
 }
 
-async fn statement(args: &Args, entries: &Entries, text: &str) -> u8 {
-    // Checked here first, so that a mistake is shown without an entry.
+async fn run_statement(args: &Args, client: &EntryClient, text: &str) -> u8 {
+    // The statement is parsed locally first, so that syntax errors are reported without contacting an entry.
     if let Err(e) = sorrelland_lang::parse(text) {
         eprintln!("{text}\n{}^ {e}", " ".repeat(e.column.saturating_sub(1)));
-        return USAGE;
+        return EXIT_USAGE;
     }
     let body = json!({ "text": text });
-    finish(args, entries.call(Method::POST, "/v1/query", Some(&body)).await)
+    report(args, client.call(Method::POST, "/v1/query", Some(&body)).await)
 }
 
-/// Sends statements in order; empty lines and comments are skipped; the first that fails ends it.
-async fn statements(args: &Args, entries: &Entries, lines: impl Iterator<Item = String>) -> u8 {
+/// Runs statements in order until one fails. Empty lines and comments are skipped.
+async fn run_statements(args: &Args, client: &EntryClient, lines: impl Iterator<Item = String>) -> u8 {
     for line in lines {
         let line = line.trim();
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
-        let status = statement(args, entries, line).await;
-        if status != DONE {
+        let status = run_statement(args, client, line).await;
+        if status != EXIT_DONE {
             return status;
         }
     }
-    DONE
+    EXIT_DONE
 }
 
-async fn interactive(args: &Args, entries: &Entries) -> u8 {
+async fn run_interactive(args: &Args, client: &EntryClient) -> u8 {
     let mut editor = match DefaultEditor::new() {
         Ok(editor) => editor,
         Err(e) => {
             eprintln!("no terminal: {e}");
-            return USAGE;
+            return EXIT_USAGE;
         }
     };
-    let mut status = DONE;
+    let mut status = EXIT_DONE;
     while let Ok(line) = editor.readline("sorrelland> ") {
         let text = line.trim();
         match text {
@@ -117,51 +117,51 @@
         if let Err(e) = editor.add_history_entry(text) {
             eprintln!("history: {e}");
         }
-        status = statement(args, entries, text).await;
+        status = run_statement(args, client, text).await;
     }
     status
 }
 
-fn finish(args: &Args, answer: Result<Answer, Error>) -> u8 {
-    match answer {
-        Ok(answer) => {
+fn report(args: &Args, response: Result<Response, Error>) -> u8 {
+    match response {
+        Ok(response) => {
             match args.json {
-                true => println!("{}", answer.body),
-                false => print!("{}", show::text(&answer.body)),
+                true => println!("{}", response.body),
+                false => print!("{}", show::to_text(&response.body)),
             }
-            status(&answer)
+            exit_status(&response)
         }
         Err(e) => {
             eprintln!("{e}");
             match e {
-                Error::NoEntry(_) => NO_ENTRY,
-                Error::Unknown(_) => UNKNOWN,
+                Error::NoEntry(_) => EXIT_NO_ENTRY,
+                Error::OutcomeUnknown(_) => EXIT_UNKNOWN,
             }
         }
     }
 }
 
-/// Returns the exit status that an answer means.
-pub fn status(answer: &Answer) -> u8 {
-    let body = &answer.body;
-    let word = |value: &Value| value.as_str().unwrap_or_default().to_owned();
+/// Returns the exit status for a response.
+pub fn exit_status(response: &Response) -> u8 {
+    let body = &response.body;
+    let string = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let outcome = match &body["outcome"] {
-        Value::Object(outcome) => word(&outcome["outcome"]),
-        other => word(other),
+        Value::Object(outcome) => string(&outcome["outcome"]),
+        other => string(other),
     };
     let commands = body["commands"].as_array().cloned().unwrap_or_default();
-    let results: Vec<String> = commands.iter().map(|command| word(&command["result"])).collect();
-    if outcome == "unknown" || word(&body["error_code"]) == "not_known_yet" {
-        return UNKNOWN;
+    let results: Vec<String> = commands.iter().map(|command| string(&command["result"])).collect();
+    if outcome == "unknown" || string(&body["error_code"]) == "not_known_yet" {
+        return EXIT_UNKNOWN;
     }
     if results.iter().any(|result| result == "not_known_yet") {
-        return UNKNOWN;
+        return EXIT_UNKNOWN;
     }
     let refused = matches!(outcome.as_str(), "not_run" | "failed") || results.iter().any(|r| r == "void");
-    match answer.status {
-        _ if refused => REFUSED,
-        StatusCode::BAD_REQUEST => USAGE,
-        status if status.is_success() => DONE,
-        _ => REFUSED,
+    match response.status {
+        _ if refused => EXIT_REFUSED,
+        StatusCode::BAD_REQUEST => EXIT_USAGE,
+        status if status.is_success() => EXIT_DONE,
+        _ => EXIT_REFUSED,
     }
 }
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -1,17 +1,17 @@
-//! Answers as people read them.
+//! Formats responses as text.
 
 use serde_json::Value;
 
-/// Characters of one cell at most.
-const CELL_LIMIT: usize = 48;
+/// Maximum number of characters of a table cell.
+const MAX_CELL_CHARS: usize = 48;
 
-/// Column of reasons, which are shown in full.
-const REASONS: &str = "why";
+/// Name of the column that holds reasons; its cells are never truncated.
+const REASON_COLUMN: &str = "why";
 
-/// Returns an answer as text: a table where it has rows, otherwise one line a field.
-pub fn text(body: &Value) -> String {
+/// Formats a response body: as a table if it has rows, otherwise as one line per field.
+pub fn to_text(body: &Value) -> String {
     match (&body["columns"], &body["rows"]) {
-        (Value::Array(columns), Value::Array(rows)) => table(columns, rows, body) + &rest(body),
+        (Value::Array(columns), Value::Array(rows)) => table(columns, rows, body) + &other_fields(body),
         _ => fields(body, 0),
     }
 }
@@ -39,7 +39,7 @@
         text.push_str(&format!("; the part of {} is missing", names.join(", ")));
     }
     match body.get("config_age_ms").map(Value::as_u64) {
-        // Views of the platform don't name it.
+        // Views of the users' platform have no `config_age_ms`.
         None => {}
         Some(Some(age_ms)) if age_ms > 3_000 => {
             text.push_str(&format!("; the log has not answered for {} s", age_ms / 1_000));
@@ -51,18 +51,18 @@
     text
 }
 
-/// Returns the plain fields beside a table.
-fn rest(body: &Value) -> String {
-    let known = ["columns", "rows", "missing", "config_age_ms", "more", "points"];
-    let plain = |(name, _): &(&String, &Value)| !known.contains(&name.as_str());
-    let plain: serde_json::Map<String, Value> = body
+/// Formats the fields of a response that are not part of its table.
+fn other_fields(body: &Value) -> String {
+    let table_fields = ["columns", "rows", "missing", "config_age_ms", "more", "points"];
+    let remaining = |(name, _): &(&String, &Value)| !table_fields.contains(&name.as_str());
+    let remaining: serde_json::Map<String, Value> = body
         .as_object()
         .into_iter()
         .flatten()
-        .filter(plain)
+        .filter(remaining)
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect();
-    fields(&Value::Object(plain), 0)
+    fields(&Value::Object(remaining), 0)
 }
 
 fn cell(name: &str, value: &Value) -> String {
@@ -71,10 +71,10 @@
         Value::String(text) => text.clone(),
         other => other.to_string(),
     };
-    if name == REASONS || text.chars().count() <= CELL_LIMIT {
+    if name == REASON_COLUMN || text.chars().count() <= MAX_CELL_CHARS {
         return text;
     }
-    let head: String = text.chars().take(CELL_LIMIT - 1).collect();
+    let head: String = text.chars().take(MAX_CELL_CHARS - 1).collect();
     format!("{head}…")
 }
 
--- a/crates/sorrelland/src/bin/sorrellandctl.rs
+++ b/crates/sorrelland/src/bin/sorrellandctl.rs
@@ -11,7 +11,7 @@
         Ok(args) => ExitCode::from(run::run(&args).await),
         Err(e) => {
             eprintln!("sorrellandctl: {e}\n\n{}", args::HELP);
-            ExitCode::from(run::USAGE)
+            ExitCode::from(run::EXIT_USAGE)
         }
     }
 }
