--- a/crates/load/src/args.rs
+++ b/crates/load/src/args.rs
@@ -1,78 +1,78 @@
-//! The command line of the load program.
+//! Command line of `sorrelland-load`.
 
 use derive_more::{Display, Error, From};
 use lexopt::{Arg, ValueExt};
 
-/// Result of reading the command line.
+/// Result of parsing the command line.
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Help text of the program.
 pub const HELP: &str = "\
-sorrelland-load - measures short requests through an entry beside direct calls to an upstream
+sorrelland-load - measures short requests through an entry, compared with direct calls to an upstream
 
 Usage:
   sorrelland-load --entry IP:PORT --key KEY [--upstream IP:PORT] [options]
 
 Options:
   --entry IP:PORT      entry to send to
-  --upstream IP:PORT   upstream to call directly in the same run
+  --upstream IP:PORT   upstream to call directly during the same run
   --key KEY            key of an account
-  --rate N             requests a second, each way [1000]
-  --seconds N          length of the run [10]
-  --cost-ms N          work of one request [0]
-  --keyed              take a key for each request
-  --pid NAME=PID       process whose processor time is told; may be given more than once
+  --rate N             requests per second to the entry, and as many to the upstream [1000]
+  --seconds N          length of the run in seconds [10]
+  --cost-ms N          work of one request in milliseconds [0]
+  --keyed              create a request key for each request
+  --pid NAME=PID       process whose CPU time and memory are reported; may be given more than once
   --help               print this text
 
   sorrelland-load --agents N --rpc IP:PORT --process-key KEY [--seconds N] [--pid NAME=PID]
 
-  --agents N           fake agents that beat at an entry instead of requests
-  --rpc IP:PORT        the entry's address for other processes
-  --process-key KEY    key that the processes share
+  --agents N           simulated agents, which send heartbeats to an entry instead of requests
+  --rpc IP:PORT        the entry's RPC address
+  --process-key KEY    key that the processes of the site share
 ";
 
-/// The whole command line.
+/// Parsed command line.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Args {
-    /// Whether only the help text is wanted.
+    /// Whether to print only the help text.
     pub help: bool,
     /// Address of the entry.
     pub entry: String,
-    /// Address of the upstream.
+    /// Address of the upstream for direct requests.
     pub upstream: Option<String>,
     /// Key of an account.
     pub key: String,
-    /// Requests a second, each way.
+    /// Requests per second to each of entry and upstream.
     pub rate: u64,
     /// Length of the run in seconds.
     pub seconds: u64,
     /// Work of one request in milliseconds.
     pub cost_ms: u64,
-    /// Whether each request takes a key.
+    /// Whether a request key is created for each request.
     pub keyed: bool,
-    /// Fake agents that beat instead of requests.
+    /// Number of simulated agents; if not 0, heartbeats are sent instead of requests.
     pub agents: usize,
-    /// The entry's address for other processes.
+    /// RPC address of the entry.
     pub rpc: String,
-    /// Key that the processes share.
+    /// Key that the processes of the site share.
     pub process_key: String,
-    /// Processes whose processor time is told.
+    /// Names and ids of the processes whose CPU time and memory are reported.
     pub processes: Vec<(String, u32)>,
 }
 
-/// What is wrong with the command line.
+/// Command line error.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// It was malformed.
+    /// An option or value is malformed, unknown or missing.
     #[display("{_0}")]
     Usage(lexopt::Error),
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
 ///
-/// Returns what was malformed.
+/// Returns an error if an option or value is malformed, or if a required one is missing or 0.
 pub fn parse(mut parser: lexopt::Parser) -> Result<Args> {
     let mut args = Args { rate: 1_000, seconds: 10, ..Args::default() };
     while let Some(arg) = parser.next()? {
@@ -88,22 +88,24 @@
             Arg::Long("agents") => args.agents = parser.value()?.parse()?,
             Arg::Long("rpc") => args.rpc = parser.value()?.string()?,
             Arg::Long("process-key") => args.process_key = parser.value()?.string()?,
-            Arg::Long("pid") => args.processes.push(process(&parser.value()?.string()?)?),
+            Arg::Long("pid") => args.processes.push(parse_process(&parser.value()?.string()?)?),
             other => return Err(other.unexpected().into()),
         }
     }
     let target = if args.agents > 0 { &args.rpc } else { &args.entry };
     if !args.help && (target.is_empty() || args.rate == 0 || args.seconds == 0) {
-        return Err(custom("--entry or --rpc is needed, and --rate and --seconds are at least 1"));
+        return Err(usage_error(
+            "--entry, or --rpc with --agents, is required, and --rate and --seconds must be at least 1",
+        ));
     }
     Ok(args)
 }
 
-fn process(text: &str) -> Result<(String, u32)> {
+fn parse_process(text: &str) -> Result<(String, u32)> {
     let parsed = text.split_once('=').and_then(|(name, pid)| Some((name.to_owned(), pid.parse().ok()?)));
-    parsed.ok_or_else(|| custom("--pid takes NAME=PID"))
+    parsed.ok_or_else(|| usage_error("--pid takes NAME=PID"))
 }
 
-fn custom(message: &str) -> Error {
+fn usage_error(message: &str) -> Error {
     lexopt::Error::Custom(message.into()).into()
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,4 +1,4 @@
-//! A load program: short requests through an entry beside direct calls to an upstream.
+//! Load generator: sends short requests through an entry and, for comparison, directly to an upstream.
 
 pub mod agents;
 pub mod args;
