--- a/crates/sorrelland/src/bin/sorrelland-emul.rs
+++ b/crates/sorrelland/src/bin/sorrelland-emul.rs
@@ -1,4 +1,4 @@
-//! The emulator.
+//! Runs the emulator for a range of seeds and prints its measures.
 
 use std::process::ExitCode;
 
--- a/crates/sorrelland/src/bin/sorrelland-load.rs
+++ b/crates/sorrelland/src/bin/sorrelland-load.rs
@@ -1,4 +1,4 @@
-//! The load program.
+//! Load generator.
 
 use std::process::ExitCode;
 
--- a/crates/sorrelland/src/bin/sorrelland-replay.rs
+++ b/crates/sorrelland/src/bin/sorrelland-replay.rs
@@ -1,4 +1,4 @@
-//! The replay program.
+//! Replays a scenario under a policy for a range of seeds.
 
 use std::process::ExitCode;
 
--- a/crates/sorrelland/src/bin/sorrelland-standin.rs
+++ b/crates/sorrelland/src/bin/sorrelland-standin.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform.
+//! Stand-in servers for the log, the workers and the store of the platform.
 
 use std::process::ExitCode;
 
--- a/crates/sorrelland/src/bin/sorrellandctl.rs
+++ b/crates/sorrelland/src/bin/sorrellandctl.rs
@@ -1,4 +1,4 @@
-//! The command-line tool.
+//! Command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/crates/sorrelland/src/bin/sorrellandd.rs
+++ b/crates/sorrelland/src/bin/sorrellandd.rs
@@ -1,4 +1,4 @@
-//! The daemon.
+//! Daemon of the entry and agent roles.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -17,15 +17,15 @@
   sorrellandd --platform ROLE --check-settings FILE
 
 Options:
-  --settings FILE         run the role that FILE names
-  --check-settings FILE   report everything that is wrong with FILE and start nothing
-  --platform ROLE         run ROLE, entry or agent, on the users' platform, with the settings file that the
-                          variable SORRELLANDING_SETTINGS names
-  --metrics-port PORT     serve the metrics of a platform role on PORT of the instance
+  --settings FILE         run the role set in FILE
+  --check-settings FILE   report all errors in FILE without starting anything
+  --platform ROLE         run ROLE, entry or agent, on the users' platform, with the settings file named by
+                          the environment variable SORRELLANDING_SETTINGS
+  --metrics-port PORT     port of the instance that serves the metrics of a platform role
   --help                  print this text
   --version               print the version
 
-Exit status: 0 stopped as asked or settings in order, 1 could not start, 2 wrong usage or settings
+Exit status: 0 stopped on request or settings valid, 1 could not start, 2 wrong usage or settings
 ";
 
 enum Command {
@@ -103,10 +103,13 @@
         return match command {
             None => Ok(Command::Platform(role, metrics_port)),
             Some(Command::Check(path)) => Ok(Command::CheckPlatform(path)),
-            Some(_) => Err(lexopt::Error::Custom("--platform takes its settings from the platform".into())),
+            Some(_) => Err(lexopt::Error::Custom(
+                "--platform reads the settings that SORRELLANDING_SETTINGS names, not --settings".into(),
+            )),
         };
     }
-    command.ok_or_else(|| lexopt::Error::Custom("--settings or --check-settings is needed".into()))
+    command
+        .ok_or_else(|| lexopt::Error::Custom("--settings, --check-settings or --platform is required".into()))
 }
 
 fn role(name: &str) -> Result<Role, lexopt::Error> {
@@ -138,7 +141,7 @@
         eprintln!("sorrellandd: {e}");
         return ExitCode::FAILURE;
     }
-    // The platform's instances have a fraction of a core: more threads would only take turns.
+    // An instance of the platform has a fraction of a core, so that more threads would not run in parallel.
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
@@ -174,7 +177,7 @@
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(e) => {
-            log::error!("no runtime: {e}");
+            log::error!("cannot create the async runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
--- a/crates/sorrelland/src/lib.rs
+++ b/crates/sorrelland/src/lib.rs
@@ -1,1 +1,1 @@
-//! The programs of sorrelland; each is a plain `main` over the crate that does the work.
+//! Binaries of sorrelland. Each one parses its arguments and calls the library crate that implements it.
