--- a/crates/sorrelland/tests/checker.rs
+++ b/crates/sorrelland/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker of histories finds wrong histories.
+//! Tests of the history checks in `common::history`.
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn violations_whole_gang() {
+fn violations_complete_gang() {
     let events = [
         Event::new("a", 0, "start", "j", "t1", 1),
         Event::new("b", 5, "start", "j", "t2", 1),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn violations_key_twice() {
+fn violations_key_runs_twice() {
     let events = [
         Event::new("a", 0, "request", "r1", "k", 0),
         Event::new("b", 9, "request", "r1", "k", 0),
--- a/crates/sorrelland/tests/common/mod.rs
+++ b/crates/sorrelland/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A site of real processes on loopback addresses of its own, for the process-level tests.
+//! Test environment for the process-level tests: real processes on separate loopback addresses.
 
 #![allow(dead_code)]
 
@@ -22,129 +22,132 @@
 pub const ACCOUNT_KEYS: [(&str, &str); 2] = [("chandler", "chandler-key"), ("museum", "museum-key-1")];
 pub const OPERATOR_KEY: &str = "operator-key";
 
-static SITES: AtomicU32 = AtomicU32::new(0);
+static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// Processes of one test; all of them end with it.
-pub struct Site {
-    net: String,
+/// Processes of a test, killed when it is dropped.
+pub struct TestEnv {
+    /// First three octets of the loopback addresses.
+    network: String,
     dir: PathBuf,
     children: BTreeMap<String, Child>,
     pub entries: usize,
     pub lease_ms: u64,
 }
 
-/// An answer with its status and JSON body.
+/// HTTP response with a JSON body.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub body: Value,
     pub retry_after: Option<String>,
 }
 
-impl Site {
+impl TestEnv {
     pub fn new(entries: usize) -> Self {
-        let site = SITES.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
-        // A network of its own in 127/8: no other test and no client port can be in the way.
-        let net = format!("127.{}.{}", 1 + pid % 250, (pid / 250 + site * 97) % 250);
-        let dir = std::env::temp_dir().join(format!("sorrelland-{pid}-{site}"));
+        // A separate network in 127/8, so that ports collide neither with other tests nor with client ports.
+        let network = format!("127.{}.{}", 1 + pid % 250, (pid / 250 + number * 97) % 250);
+        let dir = std::env::temp_dir().join(format!("sorrelland-{pid}-{number}"));
         fs::create_dir_all(&dir).unwrap();
-        Self { net, dir, children: BTreeMap::new(), entries, lease_ms: 1_000 }
+        Self { network, dir, children: BTreeMap::new(), entries, lease_ms: 1_000 }
     }
 
-    /// Starts log, entries, workers and agents, and waits until all know each other.
+    /// Starts log, entries, workers and agents, and waits until each entry reports all workers.
     pub async fn start(entries: usize, workers: usize) -> Self {
-        let mut site = Self::new(entries);
-        site.start_log().await;
-        for at in 1..=entries {
-            site.start_entry(at);
+        let mut env = Self::new(entries);
+        env.start_log().await;
+        for index in 1..=entries {
+            env.start_entry(index);
         }
-        for at in 1..=workers {
-            site.start_worker(at).await;
-            site.start_agent(at);
+        for index in 1..=workers {
+            env.start_worker(index).await;
+            env.start_agent(index);
         }
-        for at in 1..=entries {
-            site.await_ready(at, workers).await;
+        for index in 1..=entries {
+            env.await_ready(index, workers).await;
         }
         for (account, _) in ACCOUNT_KEYS {
-            site.set(&format!("set account {account} weight 1 id create-{account}")).await;
+            env.apply(&format!("set account {account} weight 1 id create-{account}")).await;
         }
-        site
+        env
     }
 
-    /// Returns an address of the site's own network.
+    /// Returns an address in the network of the environment.
     pub fn address(&self, host: usize, port: u16) -> String {
-        format!("{}.{host}:{port}", self.net)
+        format!("{}.{host}:{port}", self.network)
     }
 
-    /// Returns the folder of the site's files.
+    /// Returns the directory of settings and process output.
     pub fn dir(&self) -> &std::path::Path {
         &self.dir
     }
 
-    pub fn log(&self) -> String {
-        format!("{}.1:7000", self.net)
+    pub fn log_address(&self) -> String {
+        format!("{}.1:7000", self.network)
     }
 
-    pub fn entry(&self, at: usize) -> String {
-        format!("{}.{}:8080", self.net, 10 + at)
+    pub fn entry_address(&self, index: usize) -> String {
+        format!("{}.{}:8080", self.network, 10 + index)
     }
 
-    pub fn entry_rpc(&self, at: usize) -> String {
-        format!("{}.{}:9080", self.net, 10 + at)
+    pub fn entry_rpc_address(&self, index: usize) -> String {
+        format!("{}.{}:9080", self.network, 10 + index)
     }
 
-    pub fn worker(&self, at: usize) -> String {
-        format!("{}.{}:6000", self.net, 100 + at)
+    pub fn worker_address(&self, index: usize) -> String {
+        format!("{}.{}:6000", self.network, 100 + index)
     }
 
     pub async fn start_log(&mut self) {
-        let listen = self.log();
+        let listen = self.log_address();
         self.spawn("log", env!("CARGO_BIN_EXE_sorrelland-standin"), &["log", "--listen", &listen]);
         self.await_http(&format!("http://{listen}/v1/counts")).await;
     }
 
-    pub async fn start_worker(&mut self, at: usize) {
-        let listen = self.worker(at);
-        let name = format!("worker-{at}");
+    pub async fn start_worker(&mut self, index: usize) {
+        let listen = self.worker_address(index);
+        let name = format!("worker-{index}");
         let args = ["worker", "--listen", &listen, "--name", &name];
         self.spawn(&name, env!("CARGO_BIN_EXE_sorrelland-standin"), &args);
         self.await_http(&format!("http://{listen}/v1/worker")).await;
     }
 
-    pub fn start_entry(&mut self, at: usize) {
-        let peers: Vec<String> =
-            (1..=self.entries).filter(|peer| *peer != at).map(|peer| self.entry_rpc(peer)).collect();
+    pub fn start_entry(&mut self, index: usize) {
+        let peers: Vec<String> = (1..=self.entries)
+            .filter(|peer| *peer != index)
+            .map(|peer| self.entry_rpc_address(peer))
+            .collect();
         let keys: Vec<String> = ACCOUNT_KEYS.iter().map(|(name, key)| format!("{name} = {key}")).collect();
         let settings = format!(
-            "[daemon]\nrole = entry\nname = entry-{at}\nhttp = {}\nrpc = {}\nprocess-key = process-key\n\
+            "[daemon]\nrole = entry\nname = entry-{index}\nhttp = {}\nrpc = {}\nprocess-key = process-key\n\
              [log]\nurl = http://{}\ntimeout-ms = 500\nsnapshot-records = 50\n\
              [entry]\npeers = {}\n[agent]\nlease-ms = {}\n\
              [account-keys]\n{}\n[operator-keys]\nops = {OPERATOR_KEY}\n[logging]\nlevel = debug\n",
-            self.entry(at),
-            self.entry_rpc(at),
-            self.log(),
+            self.entry_address(index),
+            self.entry_rpc_address(index),
+            self.log_address(),
             peers.join(", "),
             self.lease_ms,
             keys.join("\n"),
         );
-        self.spawn_daemon(&format!("entry-{at}"), &settings);
+        self.spawn_daemon(&format!("entry-{index}"), &settings);
     }
 
-    pub fn start_agent(&mut self, at: usize) {
-        let entries: Vec<String> = (1..=self.entries).map(|entry| self.entry_rpc(entry)).collect();
+    pub fn start_agent(&mut self, index: usize) {
+        let entries: Vec<String> = (1..=self.entries).map(|entry| self.entry_rpc_address(entry)).collect();
         let settings = format!(
-            "[daemon]\nrole = agent\nname = worker-{at}\nregion = vn\ndomain = haiphong-a\nrack = rack-{}\n\
+            "[daemon]\nrole = agent\nname = worker-{index}\nregion = vn\ndomain = haiphong-a\nrack = rack-{}\n\
              rpc = {}.{}:9000\nprocess-key = process-key\n\
              [agent]\nworker = http://{}\nentries = {}\nlease-ms = {}\ngrace-ms = 1000\n[logging]\nlevel = debug\n",
-            (at - 1) / 3 + 1,
-            self.net,
-            100 + at,
-            self.worker(at),
+            (index - 1) / 3 + 1,
+            self.network,
+            100 + index,
+            self.worker_address(index),
             entries.join(", "),
             self.lease_ms,
         );
-        self.spawn_daemon(&format!("agent-{at}"), &settings);
+        self.spawn_daemon(&format!("agent-{index}"), &settings);
     }
 
     fn spawn_daemon(&mut self, name: &str, settings: &str) {
@@ -155,11 +158,17 @@
     }
 
     fn spawn(&mut self, name: &str, program: &str, args: &[&str]) {
-        self.spawn_with(name, program, args, &[]);
+        self.spawn_with_variables(name, program, args, &[]);
     }
 
-    /// Starts a program with further variables; what it prints goes into a file of its name.
-    pub fn spawn_with(&mut self, name: &str, program: &str, args: &[&str], variables: &[(&str, &str)]) {
+    /// Starts a program with additional environment variables; its output goes to `NAME.log` in `dir`.
+    pub fn spawn_with_variables(
+        &mut self,
+        name: &str,
+        program: &str,
+        args: &[&str],
+        variables: &[(&str, &str)],
+    ) {
         let log = fs::OpenOptions::new().create(true).append(true).open(self.dir.join(format!("{name}.log")));
         let child = Command::new(program)
             .args(args)
@@ -177,14 +186,15 @@
         kill(pid, signal).unwrap();
     }
 
-    /// Ends a process at once.
+    /// Kills a process and waits for its end.
     pub fn kill(&mut self, name: &str) {
         let mut child = self.children.remove(name).unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
-    /// Asks a process to stop and returns whether it did so in time with a good status.
+    /// Sends SIGTERM and returns whether the process exits successfully within `within`; kills it if it
+    /// does not exit.
     pub async fn stop(&mut self, name: &str, within: Duration) -> bool {
         self.signal(name, Signal::SIGTERM);
         let deadline = Instant::now() + within;
@@ -205,8 +215,8 @@
         eventually(Duration::from_secs(20), url, async || client.get::<Value>(url).await.is_ok()).await;
     }
 
-    pub async fn await_ready(&self, at: usize, workers: usize) {
-        let url = format!("http://{}/v1/ready", self.entry(at));
+    pub async fn await_ready(&self, index: usize, workers: usize) {
+        let url = format!("http://{}/v1/ready", self.entry_address(index));
         let client = Client::new(Duration::from_secs(1));
         eventually(Duration::from_secs(20), "entry is ready", async || {
             client.get::<Value>(&url).await.is_ok_and(|ready| ready["workers"] == workers)
@@ -214,56 +224,57 @@
         .await;
     }
 
-    /// Calls an entry.
+    /// Sends a request to an entry; returns `None` if there is no response.
     pub async fn call(
         &self,
-        at: usize,
+        index: usize,
         key: &str,
         method: Method,
         path: &str,
         body: Value,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let client = Client::new(Duration::from_secs(20)).with_bearer(key);
         let bytes = if body.is_null() { Bytes::new() } else { Bytes::from(body.to_string()) };
-        let url = format!("http://{}{path}", self.entry(at));
+        let url = format!("http://{}{path}", self.entry_address(index));
         let reply = client.send(method, &url, &[], bytes).await.ok()?;
         let retry_after = reply.headers.get("retry-after").map(|v| v.to_str().unwrap().to_owned());
         let body = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
-        Some(Answer { status: reply.status.as_u16(), body, retry_after })
+        Some(Response { status: reply.status.as_u16(), body, retry_after })
     }
 
-    /// Sends a statement as operator to the first entry.
-    pub async fn query(&self, at: usize, text: &str) -> Answer {
-        let answer = self.call(at, OPERATOR_KEY, Method::POST, "/v1/query", json!({ "text": text })).await;
-        answer.unwrap()
+    /// Sends a statement to an entry with the operator key.
+    pub async fn query(&self, index: usize, text: &str) -> Response {
+        let response =
+            self.call(index, OPERATOR_KEY, Method::POST, "/v1/query", json!({ "text": text })).await;
+        response.unwrap()
     }
 
-    /// Sends a change and checks that it is accepted.
-    pub async fn set(&self, text: &str) -> u64 {
-        let answer = self.query(1, text).await;
-        let command = &answer.body["commands"][0];
-        assert_eq!(command["result"], "accepted", "{text}: {answer:?}");
+    /// Sends a command to the first entry, checks that it is accepted and returns its version.
+    pub async fn apply(&self, text: &str) -> u64 {
+        let response = self.query(1, text).await;
+        let command = &response.body["commands"][0];
+        assert_eq!(command["result"], "accepted", "{text}: {response:?}");
         command["version"].as_u64().unwrap()
     }
 
-    /// Submits a job for the first account.
-    pub async fn submit(&self, at: usize, name: &str, more: Value) -> Option<Answer> {
+    /// Submits a job of the first account; `fields` are added to its name and declared run time.
+    pub async fn submit(&self, index: usize, name: &str, fields: Value) -> Option<Response> {
         let mut body = json!({ "name": name, "declared_ms": 1_000 });
-        body.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
-        self.call(at, ACCOUNT_KEYS[0].1, Method::POST, "/v1/jobs", body).await
+        body.as_object_mut().unwrap().extend(fields.as_object().unwrap().clone());
+        self.call(index, ACCOUNT_KEYS[0].1, Method::POST, "/v1/jobs", body).await
     }
 
-    pub async fn job(&self, at: usize, name: &str) -> Value {
-        let answer =
-            self.call(at, ACCOUNT_KEYS[0].1, Method::GET, &format!("/v1/jobs/{name}"), Value::Null).await;
-        answer.map(|answer| answer.body).unwrap_or_default()
+    pub async fn job_status(&self, index: usize, name: &str) -> Value {
+        let response =
+            self.call(index, ACCOUNT_KEYS[0].1, Method::GET, &format!("/v1/jobs/{name}"), Value::Null).await;
+        response.map(|response| response.body).unwrap_or_default()
     }
 
-    /// Waits until a job has its final outcome and returns it.
-    pub async fn outcome(&self, at: usize, name: &str, within: Duration) -> Value {
+    /// Waits until a job has ended and returns its outcome.
+    pub async fn await_outcome(&self, index: usize, name: &str, within: Duration) -> Value {
         let deadline = Instant::now() + within;
         loop {
-            let job = self.job(at, name).await;
+            let job = self.job_status(index, name).await;
             if job["state"] == "ended" {
                 return job["outcome"].clone();
             }
@@ -276,32 +287,34 @@
         }
     }
 
-    /// Switches faults of a stand-in.
-    pub async fn faults(&self, address: &str, faults: Value) {
+    /// Sets the faults that a stand-in injects.
+    pub async fn set_faults(&self, address: &str, faults: Value) {
         let client = Client::new(Duration::from_secs(5));
         let url = format!("http://{address}/v1/faults");
         let reply = client.send(Method::PUT, &url, &[], Bytes::from(faults.to_string())).await.unwrap();
         assert!(reply.status.is_success());
     }
 
-    /// Returns everything that happened at the workers.
+    /// Returns the events of all workers, ordered by time.
     pub async fn history(&self, workers: usize) -> Vec<history::Event> {
         let client = Client::new(Duration::from_secs(5));
         let mut events = Vec::new();
-        for at in 1..=workers {
+        for index in 1..=workers {
             let found: Vec<Value> =
-                client.get(&format!("http://{}/v1/history", self.worker(at))).await.unwrap();
-            events.extend(found.iter().map(|event| history::Event::read(&format!("worker-{at}"), event)));
+                client.get(&format!("http://{}/v1/history", self.worker_address(index))).await.unwrap();
+            events.extend(
+                found.iter().map(|event| history::Event::from_json(&format!("worker-{index}"), event)),
+            );
         }
         events.sort_by_key(|event| event.at_ms);
         events
     }
 }
 
-impl Drop for Site {
+impl Drop for TestEnv {
     fn drop(&mut self) {
         for child in self.children.values_mut() {
-            // A stopped process has to be killed all the same; one that is gone already is fine.
+            // Processes suspended by SIGSTOP must be killed too; errors for exited ones are ignored.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -311,11 +324,11 @@
     }
 }
 
-/// Waits until `holds`.
-pub async fn eventually(within: Duration, what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Polls `condition` until it holds; panics if it does not hold within `within`.
+pub async fn eventually(within: Duration, what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let deadline = Instant::now() + within;
-    while !holds().await {
-        assert!(Instant::now() < deadline, "not within {within:?}: {what}");
+    while !condition().await {
+        assert!(Instant::now() < deadline, "timed out after {within:?}: {what}");
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
 }
--- a/crates/sorrelland/tests/path.rs
+++ b/crates/sorrelland/tests/path.rs
@@ -1,10 +1,10 @@
-//! The whole path through real processes.
+//! End-to-end tests of requests, jobs and settings with real processes.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{ACCOUNT_KEYS, Site, eventually};
+use common::{ACCOUNT_KEYS, TestEnv, eventually};
 use http::Method;
 use serde_json::{Value, json};
 
@@ -13,64 +13,64 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn path_short_request() {
-    let site = Site::start(2, 2).await;
+    let env = TestEnv::start(2, 2).await;
     let body = json!({ "request": "r-1", "idempotent": true, "body": { "cost_ms": 3 } });
-    let answer = site.call(1, CHANDLER, Method::POST, "/v1/requests", body).await.unwrap();
-    assert_eq!(answer.status, 200, "{answer:?}");
-    assert_eq!(answer.body["outcome"], "done");
-    assert_eq!(answer.body["request"], "r-1");
-    assert_eq!(answer.body["answer"]["request"], "r-1");
+    let response = env.call(1, CHANDLER, Method::POST, "/v1/requests", body).await.unwrap();
+    assert_eq!(response.status, 200, "{response:?}");
+    assert_eq!(response.body["outcome"], "done");
+    assert_eq!(response.body["request"], "r-1");
+    assert_eq!(response.body["answer"]["request"], "r-1");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn path_keyed_request_runs_once() {
-    let site = Site::start(2, 2).await;
-    let key = site.call(1, CHANDLER, Method::POST, "/v1/keys", Value::Null).await.unwrap();
+    let env = TestEnv::start(2, 2).await;
+    let key = env.call(1, CHANDLER, Method::POST, "/v1/keys", Value::Null).await.unwrap();
     let body = json!({ "request": "order-1", "key": key.body["key"], "body": { "cost_ms": 50 } });
     let calls: Vec<_> = (0..8)
-        .map(|at| {
+        .map(|index| {
             let client = sorrelland_web::Client::new(Duration::from_secs(5)).with_bearer(CHANDLER);
-            let url = format!("http://{}/v1/requests", site.entry(1 + at % 2));
+            let url = format!("http://{}/v1/requests", env.entry_address(1 + index % 2));
             let body = body.clone();
             tokio::spawn(async move { client.call::<Value>(Method::POST, &url, &body).await.unwrap() })
         })
         .collect();
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     for call in calls {
-        answers.push(call.await.unwrap());
+        responses.push(call.await.unwrap());
     }
-    assert!(answers.iter().all(|answer| answer["outcome"] == "done"), "{answers:?}");
-    let runs = site.history(2).await.into_iter().filter(|event| event.what == "request").count();
+    assert!(responses.iter().all(|response| response["outcome"] == "done"), "{responses:?}");
+    let runs = env.history(2).await.into_iter().filter(|event| event.kind == "request").count();
     assert_eq!(runs, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn path_gang_waits_runs_and_ends() {
-    let site = Site::start(2, 3).await;
+    let env = TestEnv::start(2, 3).await;
     let long =
         json!({ "shape": { "tasks": 3, "accelerators": 8, "span": "rack" }, "work": { "run_ms": 1_200 } });
-    let first = site.submit(1, "reprice", long.clone()).await.unwrap();
+    let first = env.submit(1, "reprice", long.clone()).await.unwrap();
     assert_eq!(first.status, 202, "{first:?}");
     eventually(Duration::from_secs(5), "first gang runs", async || {
-        site.job(1, "reprice").await["state"] == "running"
+        env.job_status(1, "reprice").await["state"] == "running"
     })
     .await;
-    let second = site.submit(1, "match", long).await.unwrap();
+    let second = env.submit(1, "match", long).await.unwrap();
     assert_eq!(second.body["state"], "waiting");
-    assert_eq!(site.outcome(2, "reprice", Duration::from_secs(10)).await["outcome"], "done");
-    assert_eq!(site.outcome(2, "match", Duration::from_secs(10)).await["outcome"], "done");
-    let starts = site.history(3).await.into_iter().filter(|event| event.what == "start").count();
+    assert_eq!(env.await_outcome(2, "reprice", Duration::from_secs(10)).await["outcome"], "done");
+    assert_eq!(env.await_outcome(2, "match", Duration::from_secs(10)).await["outcome"], "done");
+    let starts = env.history(3).await.into_iter().filter(|event| event.kind == "start").count();
     assert_eq!(starts, 6);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn path_bad_input() {
-    let site = Site::start(1, 2).await;
+    let env = TestEnv::start(1, 2).await;
     let request =
-        async |key: &str, body: Value| site.call(1, key, Method::POST, "/v1/requests", body).await.unwrap();
-    let job = async |body: Value| site.call(1, CHANDLER, Method::POST, "/v1/jobs", body).await.unwrap();
+        async |key: &str, body: Value| env.call(1, key, Method::POST, "/v1/requests", body).await.unwrap();
+    let job = async |body: Value| env.call(1, CHANDLER, Method::POST, "/v1/jobs", body).await.unwrap();
     let wide = json!({ "tasks": 1, "accelerators": 9, "span": "worker" });
-    site.set("remove account museum").await;
+    env.apply("remove account museum").await;
     let cases = [
         (request(MUSEUM, json!({ "idempotent": true, "body": 1 })).await, 404, "unknown_account"),
         (request("no-such-key", json!({ "body": 1 })).await, 401, "bad_account_key"),
@@ -82,78 +82,82 @@
         (job(json!({ "name": "a/b", "shape": wide, "declared_ms": 1 })).await, 400, "bad_name"),
         (job(json!({ "name": "wide", "shape": wide, "declared_ms": 1 })).await, 422, "never_fits"),
         (
-            site.call(1, CHANDLER, Method::GET, "/v1/requests", Value::Null).await.unwrap(),
+            env.call(1, CHANDLER, Method::GET, "/v1/requests", Value::Null).await.unwrap(),
             405,
             "method_not_allowed",
         ),
         (
-            site.call(1, CHANDLER, Method::PUT, "/v1/jobs/x", Value::Null).await.unwrap(),
+            env.call(1, CHANDLER, Method::PUT, "/v1/jobs/x", Value::Null).await.unwrap(),
             405,
             "method_not_allowed",
         ),
         (
-            site.call(1, CHANDLER, Method::POST, "/v1/query", json!({ "text": "show jobs" })).await.unwrap(),
+            env.call(1, CHANDLER, Method::POST, "/v1/query", json!({ "text": "show jobs" })).await.unwrap(),
             401,
             "bad_operator_key",
         ),
-        (site.query(1, "show jbos").await, 400, "syntax"),
-        (site.query(1, "set account x guarantee 40x8@region").await, 422, "never_fits"),
+        (env.query(1, "show jbos").await, 400, "syntax"),
+        (env.query(1, "set account x guarantee 40x8@region").await, 422, "never_fits"),
     ];
-    for (answer, status, code) in &cases {
-        assert_eq!((answer.status, answer.body["error_code"].as_str()), (*status, Some(*code)), "{answer:?}");
+    for (response, status, code) in &cases {
+        assert_eq!(
+            (response.status, response.body["error_code"].as_str()),
+            (*status, Some(*code)),
+            "{response:?}"
+        );
     }
-    let jobs = site.query(1, "show jobs").await;
-    assert_eq!(jobs.body["rows"], json!([]), "nothing is recorded");
-    assert!(site.history(2).await.is_empty(), "nothing ran");
+    let jobs = env.query(1, "show jobs").await;
+    assert_eq!(jobs.body["rows"], json!([]), "a rejected job was recorded");
+    assert!(env.history(2).await.is_empty(), "a rejected request ran");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn path_accounts_do_not_see_each_other() {
-    let site = Site::start(1, 1).await;
+    let env = TestEnv::start(1, 1).await;
     let shape =
         json!({ "shape": { "tasks": 1, "accelerators": 1, "span": "worker" }, "work": { "run_ms": 10 } });
-    site.submit(1, "secret", shape.clone()).await.unwrap();
-    let other = site.call(1, MUSEUM, Method::GET, "/v1/jobs/secret", Value::Null).await.unwrap();
+    env.submit(1, "secret", shape.clone()).await.unwrap();
+    let other = env.call(1, MUSEUM, Method::GET, "/v1/jobs/secret", Value::Null).await.unwrap();
     assert_eq!(other.status, 404);
-    let other = site.call(1, MUSEUM, Method::DELETE, "/v1/jobs/secret", Value::Null).await.unwrap();
+    let other = env.call(1, MUSEUM, Method::DELETE, "/v1/jobs/secret", Value::Null).await.unwrap();
     assert_eq!(other.status, 404);
-    let metrics = site.call(1, MUSEUM, Method::GET, "/metrics", Value::Null).await.unwrap();
+    let metrics = env.call(1, MUSEUM, Method::GET, "/metrics", Value::Null).await.unwrap();
     assert_eq!(metrics.status, 401);
     let mut same_name = shape;
     same_name
         .as_object_mut()
         .unwrap()
         .extend([("name".to_owned(), json!("secret")), ("declared_ms".to_owned(), json!(1))]);
-    let own = site.call(1, MUSEUM, Method::POST, "/v1/jobs", same_name).await.unwrap();
-    assert_eq!(own.status, 202, "names are the account's own: {own:?}");
+    let own = env.call(1, MUSEUM, Method::POST, "/v1/jobs", same_name).await.unwrap();
+    assert_eq!(own.status, 202, "job names of different accounts collide: {own:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn path_graceful_stop_cuts_nothing() {
-    let mut site = Site::start(2, 3).await;
+async fn path_graceful_stop_completes_requests() {
+    let mut env = TestEnv::start(2, 3).await;
     let body = json!({ "idempotent": true, "body": { "cost_ms": 400 } });
-    let key = site.call(1, CHANDLER, Method::POST, "/v1/keys", Value::Null).await.unwrap();
+    let key = env.call(1, CHANDLER, Method::POST, "/v1/keys", Value::Null).await.unwrap();
     let keyed = json!({ "key": key.body["key"], "body": { "cost_ms": 400 } });
     let clients: Vec<_> = [body.clone(), keyed, body]
         .into_iter()
         .map(|body| {
             let client = sorrelland_web::Client::new(Duration::from_secs(5)).with_bearer(CHANDLER);
-            let url = format!("http://{}/v1/requests", site.entry(1));
+            let url = format!("http://{}/v1/requests", env.entry_address(1));
             tokio::spawn(async move { client.call::<Value>(Method::POST, &url, &body).await })
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(150)).await;
-    assert!(site.stop("agent-1", Duration::from_secs(10)).await);
-    assert!(site.stop("entry-1", Duration::from_secs(10)).await);
+    assert!(env.stop("agent-1", Duration::from_secs(10)).await);
+    assert!(env.stop("entry-1", Duration::from_secs(10)).await);
     for client in clients {
-        let answer = client.await.unwrap().unwrap();
-        assert_eq!(answer["outcome"], "done", "{answer}");
+        let response = client.await.unwrap().unwrap();
+        assert_eq!(response["outcome"], "done", "{response}");
     }
     let after =
-        site.call(2, CHANDLER, Method::POST, "/v1/requests", json!({ "idempotent": true, "body": {} })).await;
-    assert_eq!(after.unwrap().body["outcome"], "done", "the other entry goes on");
+        env.call(2, CHANDLER, Method::POST, "/v1/requests", json!({ "idempotent": true, "body": {} })).await;
+    assert_eq!(after.unwrap().body["outcome"], "done", "the other entry does not serve requests");
     for name in ["agent-2", "agent-3", "entry-2"] {
-        assert!(site.stop(name, Duration::from_secs(10)).await, "{name}");
+        assert!(env.stop(name, Duration::from_secs(10)).await, "{name}");
     }
 }
 
--- a/crates/sorrelland/tests/platform.rs
+++ b/crates/sorrelland/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The whole path on the users' platform, as separate processes on loopback, and what must hold while they fail.
+//! End-to-end tests on the users' platform with separate processes on loopback, and the guarantees that hold
+//! while processes fail.
 
 mod common;
 
@@ -22,7 +23,7 @@
     let mut after = step(3);
     after["after"] = json!([0]);
     assert_eq!(platform.submit(1, &job(1), json!([gang, after]), "run_ms=200").await, 200);
-    // The same name is the same job, at any entry.
+    // Submitting a job name again, at any entry, refers to the same job.
     assert_eq!(platform.submit(2, &job(1), json!([step(1)]), "run_ms=200").await, 200);
     platform.await_state(&job(1), "completed", Duration::from_secs(10)).await;
     let starts = platform.history().await;
@@ -43,37 +44,37 @@
 }
 
 #[tokio::test]
-async fn path_serves_callers_in_a_hurry() {
+async fn path_serves_short_deadlines() {
     let platform = Platform::start(2, 1).await;
     let body = json!({"task_spec": "run_ms=50", "steps": [step(1)]});
-    for (at, number) in [(1, 1), (2, 2)] {
+    for (index, number) in [(1, 1), (2, 2)] {
         let path = format!("{PREFIX}{}", job(number));
-        let answer = platform.call_within(140, at, Method::POST, &path, KEY, &body).await;
-        assert_eq!(answer.0, 200, "entry {at}");
+        let response = platform.call_within(140, index, Method::POST, &path, KEY, &body).await;
+        assert_eq!(response.0, 200, "entry {index}");
     }
 }
 
 #[tokio::test]
-async fn path_tells_ends_at_once() {
-    // An end counts as known 100 ms after a worker lists it, and storing it takes a few more.
-    const KNOWN_WITHIN: Duration = Duration::from_millis(100 + 50);
+async fn path_reports_end_within_bound() {
+    // An end counts as known 100 ms after a worker lists it; storing it takes a few milliseconds more.
+    const REPORT_BOUND: Duration = Duration::from_millis(100 + 50);
     let platform = Platform::start(1, 1).await;
-    let mut beyond = Duration::ZERO;
+    let mut delay = Duration::ZERO;
     let jobs = 10;
     for number in 1..=jobs {
-        // Odd lengths, so that no period of the control hides a delay.
-        let length = Duration::from_millis(330 + 37 * u64::from(number));
-        let began = Instant::now();
-        let spec = format!("run_ms={}", length.as_millis());
+        // Uneven run times, since a delay could be hidden by alignment with a period of the control loops.
+        let run_time = Duration::from_millis(330 + 37 * u64::from(number));
+        let submitted = Instant::now();
+        let spec = format!("run_ms={}", run_time.as_millis());
         assert_eq!(platform.submit(1, &job(number), json!([step(1)]), &spec).await, 200);
         platform.await_state(&job(number), "completed", Duration::from_secs(5)).await;
-        beyond += began.elapsed().saturating_sub(length);
+        delay += submitted.elapsed().saturating_sub(run_time);
     }
-    assert!(beyond / jobs < KNOWN_WITHIN, "{:?} beyond the work", beyond / jobs);
+    assert!(delay / jobs < REPORT_BOUND, "mean delay after the run time: {:?}", delay / jobs);
 }
 
 #[tokio::test]
-async fn path_gives_up_a_job_after_its_attempts() {
+async fn path_fails_job_after_its_attempts() {
     let platform = Platform::start(1, 2).await;
     assert_eq!(platform.submit(1, &job(1), json!([step(1)]), "fails run_ms=50").await, 200);
     platform.await_state(&job(1), "failed", Duration::from_secs(10)).await;
@@ -82,14 +83,14 @@
 }
 
 #[tokio::test]
-async fn cancel_stops_what_runs_within_its_bound() {
+async fn cancel_stops_runs_within_bound() {
     let platform = Platform::start(2, 2).await;
     assert_eq!(platform.submit(1, &job(1), json!([step(4)]), "run_ms=60000").await, 200);
     platform.await_state(&job(1), "running", Duration::from_secs(5)).await;
     let path = format!("{PREFIX}{}", job(1));
     assert_eq!(platform.call(2, Method::DELETE, &path, KEY, &Value::Null).await.0, 200);
     platform.await_state(&job(1), "cancelled", Duration::from_secs(2)).await;
-    eventually(CANCEL_BOUND, "everything is stopped", async || {
+    eventually(CANCEL_BOUND, "all runs have stopped", async || {
         let events = platform.history().await;
         let count = |what: &str| events.iter().filter(|e| e.0 == what && e.1.starts_with(&job(1))).count();
         count("start") == count("stopped")
@@ -98,15 +99,15 @@
 }
 
 #[tokio::test]
-async fn kill_planner_loses_and_doubles_nothing() {
+async fn kill_planner_runs_every_job_once() {
     let mut platform = Platform::start(3, 3).await;
     for number in 1..=6 {
         platform.submit_until_accepted(&job(number), &json!([step(3)]), "run_ms=1500").await;
     }
-    let planner = platform.planner();
-    platform.site.kill(&format!("entry-{planner}"));
+    let leader = platform.leader();
+    platform.env.kill(&format!("entry-{leader}"));
     let killed = Instant::now();
-    platform.start_entry(planner);
+    platform.start_entry(leader);
     platform.submit_until_accepted(&job(7), &json!([step(1)]), "run_ms=100").await;
     assert!(killed.elapsed() < RECOVERY_BOUND, "accepted again after {:?}", killed.elapsed());
     for number in 1..=7 {
@@ -116,15 +117,15 @@
 }
 
 #[tokio::test]
-async fn freeze_planner_is_superseded_and_orders_nothing_more() {
+async fn pause_planner_is_superseded_and_assigns_nothing_more() {
     let platform = Platform::start(3, 3).await;
     for number in 1..=4 {
         platform.submit_until_accepted(&job(number), &json!([step(3)]), "run_ms=2500").await;
     }
-    let planner = format!("entry-{}", platform.planner());
-    platform.site.signal(&planner, Signal::SIGSTOP);
+    let leader = format!("entry-{}", platform.leader());
+    platform.env.signal(&leader, Signal::SIGSTOP);
     tokio::time::sleep(Duration::from_secs(4)).await;
-    platform.site.signal(&planner, Signal::SIGCONT);
+    platform.env.signal(&leader, Signal::SIGCONT);
     for number in 1..=4 {
         platform.await_state(&job(number), "completed", Duration::from_secs(20)).await;
     }
@@ -132,40 +133,40 @@
 }
 
 #[tokio::test]
-async fn kill_agent_keeps_what_its_worker_runs() {
+async fn kill_agent_keeps_runs_of_its_worker() {
     let mut platform = Platform::start(2, 2).await;
     platform.submit_until_accepted(&job(1), &json!([step(6)]), "run_ms=3000").await;
     platform.await_state(&job(1), "running", Duration::from_secs(5)).await;
-    for at in 1..=2 {
-        platform.site.kill(&format!("agent-{at}"));
-        platform.start_agent(at);
+    for index in 1..=2 {
+        platform.env.kill(&format!("agent-{index}"));
+        platform.start_agent(index);
     }
     platform.await_state(&job(1), "completed", Duration::from_secs(15)).await;
     let starts = platform.history().await.into_iter();
     let starts = starts.filter(|event| event.0 == "start" && event.1.starts_with(&job(1))).count();
-    assert_eq!(starts, 6, "a short absence of agents costs no work");
+    assert_eq!(starts, 6, "runs were restarted after a short absence of the agents");
 }
 
 #[tokio::test]
-async fn lose_worker_starts_its_work_elsewhere() {
+async fn lose_worker_completes_its_job() {
     let mut platform = Platform::start(2, 3).await;
     platform.submit_until_accepted(&job(1), &json!([step(20)]), "run_ms=1500").await;
     platform.await_state(&job(1), "running", Duration::from_secs(5)).await;
-    platform.site.kill("worker-1");
+    platform.env.kill("worker-1");
     platform.start_worker(1, 2);
     platform.await_state(&job(1), "completed", Duration::from_secs(20)).await;
 }
 
 #[tokio::test]
-async fn store_down_refuses_nothing_falsely_and_recovers() {
+async fn store_down_refuses_no_job_and_recovers() {
     let platform = Platform::start(2, 2).await;
     platform.submit_until_accepted(&job(1), &json!([step(2)]), "run_ms=3000").await;
-    platform.store_faults(json!({"down": true})).await;
+    platform.set_store_faults(json!({"down": true})).await;
     let status = platform.submit(1, &job(2), json!([step(1)]), "run_ms=100").await;
-    // The job is with the planner and may be stored yet: only "unknown" is true.
+    // The planner has the job and may still store it: its outcome is unknown, and it must not be refused.
     assert!(matches!(status, 504 | 0), "{status}");
     tokio::time::sleep(Duration::from_secs(1)).await;
-    platform.store_faults(json!({})).await;
+    platform.set_store_faults(json!({})).await;
     platform.submit_until_accepted(&job(2), &json!([step(1)]), "run_ms=100").await;
     for number in 1..=2 {
         platform.await_state(&job(number), "completed", Duration::from_secs(15)).await;
@@ -174,13 +175,13 @@
 }
 
 #[tokio::test]
-async fn lost_answers_of_the_store_double_nothing() {
+async fn store_loses_replies_jobs_run_once() {
     let platform = Platform::start(2, 2).await;
-    platform.store_faults(json!({"lose_every": 3})).await;
+    platform.set_store_faults(json!({"lose_every": 3})).await;
     for number in 1..=5 {
         platform.submit_until_accepted(&job(number), &json!([step(2)]), "run_ms=100").await;
     }
-    platform.store_faults(json!({})).await;
+    platform.set_store_faults(json!({})).await;
     for number in 1..=5 {
         platform.await_state(&job(number), "completed", Duration::from_secs(20)).await;
     }
@@ -188,17 +189,17 @@
 }
 
 #[tokio::test]
-async fn everything_killed_is_back_within_the_bound() {
+async fn kill_everything_recovers_within_bound() {
     let mut platform = Platform::start(2, 2).await;
     platform.submit_until_accepted(&job(1), &json!([step(4)]), "run_ms=1000").await;
-    for at in 1..=2 {
-        platform.site.kill(&format!("entry-{at}"));
-        platform.site.kill(&format!("agent-{at}"));
+    for index in 1..=2 {
+        platform.env.kill(&format!("entry-{index}"));
+        platform.env.kill(&format!("agent-{index}"));
     }
     let killed = Instant::now();
-    for at in 1..=2 {
-        platform.start_entry(at);
-        platform.start_agent(at);
+    for index in 1..=2 {
+        platform.start_entry(index);
+        platform.start_agent(index);
     }
     platform.submit_until_accepted(&job(2), &json!([step(1)]), "run_ms=100").await;
     assert!(killed.elapsed() < RECOVERY_BOUND, "accepted again after {:?}", killed.elapsed());
@@ -209,54 +210,54 @@
 }
 
 #[tokio::test]
-async fn desired_state_is_in_force_after_a_compaction() {
+async fn desired_state_is_in_force_after_compaction() {
     let platform = Platform::start(2, 1).await;
-    let url = format!("http://{}/v1/compact?topic=keyed.op", platform.store());
+    let url = format!("http://{}/v1/compact?topic=keyed.op", platform.store_address());
     let client = sorrelland_web::Client::new(Duration::from_secs(2));
     client.send(Method::POST, &url, &[], bytes::Bytes::new()).await.unwrap();
     platform.publish(5, &["key-2"]).await;
-    // An older version that arrives later changes nothing.
+    // An older version that arrives later must not be applied.
     platform.publish(4, &[KEY]).await;
     let bound = Duration::from_secs(2);
-    for at in 1..=2 {
+    for index in 1..=2 {
         eventually(bound, "the new keys are in force", async || {
-            platform.call(at, Method::GET, PREFIX, KEY, &Value::Null).await.0 == 401
-                && platform.call(at, Method::GET, PREFIX, "key-2", &Value::Null).await.0 == 200
+            platform.call(index, Method::GET, PREFIX, KEY, &Value::Null).await.0 == 401
+                && platform.call(index, Method::GET, PREFIX, "key-2", &Value::Null).await.0 == 200
         })
         .await;
     }
 }
 
 #[tokio::test]
-async fn desired_state_is_in_force_after_calls_went_silent() {
+async fn desired_state_is_in_force_after_unanswered_calls() {
     let platform = Platform::start(2, 1).await;
-    platform.store_faults(json!({"silent": true})).await;
+    platform.set_store_faults(json!({"silent": true})).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    platform.store_faults(json!({})).await;
-    // The platform counts the store as stable after this time.
+    platform.set_store_faults(json!({})).await;
+    // Time after which the platform considers the store stable.
     tokio::time::sleep(Duration::from_secs(3)).await;
     platform.publish(3, &["key-2"]).await;
-    for at in 1..=2 {
+    for index in 1..=2 {
         eventually(Duration::from_secs(2), "the new keys are in force", async || {
-            platform.call(at, Method::GET, PREFIX, KEY, &Value::Null).await.0 == 401
+            platform.call(index, Method::GET, PREFIX, KEY, &Value::Null).await.0 == 401
         })
         .await;
     }
 }
 
 #[tokio::test]
-async fn sigterm_hands_the_office_over_without_a_cut_request() {
+async fn sigterm_hands_over_leadership_and_jobs_run_once() {
     let mut platform = Platform::start(3, 2).await;
     platform.submit_until_accepted(&job(1), &json!([step(2)]), "run_ms=1500").await;
-    let planner = platform.planner();
-    assert!(platform.site.stop(&format!("entry-{planner}"), Duration::from_secs(6)).await);
-    let other = planner % 3 + 1;
-    let begun = Instant::now();
-    eventually(Duration::from_secs(3), "another entry plans", async || {
+    let leader = platform.leader();
+    assert!(platform.env.stop(&format!("entry-{leader}"), Duration::from_secs(6)).await);
+    let other = leader % 3 + 1;
+    let stopped = Instant::now();
+    eventually(Duration::from_secs(3), "another entry accepts a job", async || {
         platform.submit(other, &job(2), json!([step(1)]), "run_ms=100").await == 200
     })
     .await;
-    assert!(begun.elapsed() < Duration::from_secs(3));
+    assert!(stopped.elapsed() < Duration::from_secs(3));
     for number in 1..=2 {
         eventually(Duration::from_secs(10), "job completes", async || {
             platform.state(other, &job(number)).await == "completed"
@@ -266,13 +267,13 @@
     platform.assert_run_once().await;
 }
 
-/// Checks that the events come in this order among those of a job, and returns their lines.
-fn assert_walk(platform: &Platform, job: &str, events: &[&str]) -> Vec<String> {
-    let told = platform.events_of(job);
-    let mut rest = told.iter();
+/// Checks that the log of a job contains these events in this order, and returns their lines.
+fn assert_event_order(platform: &Platform, job: &str, events: &[&str]) -> Vec<String> {
+    let logged = platform.job_events(job);
+    let mut rest = logged.iter();
     let found = events.iter().map(|event| {
         let line = rest.find(|(name, _)| name == event);
-        line.unwrap_or_else(|| panic!("no {event} in its place: {told:#?}")).1.clone()
+        line.unwrap_or_else(|| panic!("event {event} is missing or out of order: {logged:#?}")).1.clone()
     });
     found.collect()
 }
@@ -284,10 +285,10 @@
     huge["gpu"] = json!(64);
     assert_eq!(platform.submit(1, &job(1), json!([huge]), "").await, 429);
     eventually(Duration::from_secs(2), "the refusal is logged", async || {
-        !platform.events_of(&job(1)).is_empty()
+        !platform.job_events(&job(1)).is_empty()
     })
     .await;
-    let lines = assert_walk(&platform, &job(1), &["refused"]);
+    let lines = assert_event_order(&platform, &job(1), &["refused"]);
     assert!(lines[0].contains("needs 1 places of its shape at once, the fleet has 0"), "{}", lines[0]);
 }
 
@@ -296,84 +297,84 @@
     let platform = Platform::start(2, 2).await;
     assert_eq!(platform.submit(1, &job(1), json!([step(1)]), "fails run_ms=50").await, 200);
     platform.await_state(&job(1), "failed", Duration::from_secs(10)).await;
-    // The planner's own lines; those of the agents may come within the same millisecond.
+    // Only events of the planner: those of the agents can have the same time stamp, in milliseconds.
     let events = ["placed", "run_ended", "placed", "run_ended", "job_ended"];
     eventually(Duration::from_secs(2), "the end is logged", async || {
-        platform.events_of(&job(1)).iter().any(|(event, _)| event == "job_ended")
+        platform.job_events(&job(1)).iter().any(|(event, _)| event == "job_ended")
     })
     .await;
-    let lines = assert_walk(&platform, &job(1), &events);
+    let lines = assert_event_order(&platform, &job(1), &events);
     assert!(lines[3].contains("how=Failed") && lines[3].contains("fails=2"), "{}", lines[3]);
-    let told = platform.events_of(&job(1));
-    let count = |event: &str| told.iter().filter(|(name, _)| name == event).count();
-    assert_eq!((count("accepted"), count("started")), (1, 2), "{told:#?}");
+    let logged = platform.job_events(&job(1));
+    let count = |event: &str| logged.iter().filter(|(name, _)| name == event).count();
+    assert_eq!((count("accepted"), count("started")), (1, 2), "{logged:#?}");
 }
 
 #[tokio::test]
 async fn walk_from_an_unknown_job_to_its_cause() {
     let platform = Platform::start(2, 2).await;
-    platform.store_faults(json!({"down": true})).await;
+    platform.set_store_faults(json!({"down": true})).await;
     let status = platform.submit(1, &job(1), json!([step(1)]), "run_ms=50").await;
     assert!(matches!(status, 504 | 0), "{status}");
-    platform.store_faults(json!({})).await;
+    platform.set_store_faults(json!({})).await;
     platform.submit_until_accepted(&job(1), &json!([step(1)]), "run_ms=50").await;
     platform.await_state(&job(1), "completed", Duration::from_secs(10)).await;
     eventually(Duration::from_secs(2), "the end is logged", async || {
-        platform.events_of(&job(1)).iter().any(|(event, _)| event == "job_ended")
+        platform.job_events(&job(1)).iter().any(|(event, _)| event == "job_ended")
     })
     .await;
-    let lines = assert_walk(&platform, &job(1), &["unanswered", "accepted", "job_ended"]);
+    let lines = assert_event_order(&platform, &job(1), &["unanswered", "accepted", "job_ended"]);
     assert!(lines[0].contains("asked=Unresolved"), "{}", lines[0]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn tool_shows_from_any_entry_why_a_job_waits() {
     let platform = Platform::start(2, 1).await;
-    let mut whole = step(1);
-    whole["gpu"] = json!(8);
-    assert_eq!(platform.submit(1, &job(1), json!([whole]), "run_ms=60000").await, 200);
-    assert_eq!(platform.submit(1, &job(2), json!([whole]), "run_ms=50").await, 200);
+    let mut full_worker = step(1);
+    full_worker["gpu"] = json!(8);
+    assert_eq!(platform.submit(1, &job(1), json!([full_worker]), "run_ms=60000").await, 200);
+    assert_eq!(platform.submit(1, &job(2), json!([full_worker]), "run_ms=50").await, 200);
     let mut huge = step(1);
     huge["gpu"] = json!(64);
     assert_eq!(platform.submit(1, &job(3), json!([huge]), "").await, 429);
     platform.await_state(&job(1), "running", Duration::from_secs(5)).await;
-    for at in 1..=2 {
-        let (status, text) = platform.operate(at, &["why", &job(2)]);
+    for index in 1..=2 {
+        let (status, text) = platform.run_ctl(index, &["why", &job(2)]);
         assert_eq!(status, 0, "{text}");
         assert!(text.contains("workers: 1 without room"), "{text}");
-        let (_, text) = platform.operate(at, &["why", &job(3)]);
+        let (_, text) = platform.run_ctl(index, &["why", &job(3)]);
         assert!(text.contains("state: refused") && text.contains("the fleet has 0"), "{text}");
-        let (_, text) = platform.operate(at, &["why", &job(9)]);
+        let (_, text) = platform.run_ctl(index, &["why", &job(9)]);
         assert!(text.contains("state: unknown"), "{text}");
-        let (_, text) = platform.operate(at, &["workers"]);
+        let (_, text) = platform.run_ctl(index, &["workers"]);
         assert!(text.contains("8/8") && text.contains("usable"), "{text}");
     }
-    let (status, text) = platform.operate(1, &["jobs", "--json"]);
+    let (status, text) = platform.run_ctl(1, &["jobs", "--json"]);
     let jobs: Value = serde_json::from_str(&text).unwrap();
     assert_eq!((status, jobs["rows"].as_array().unwrap().len()), (0, 2), "{text}");
-    assert_eq!(platform.operate(1, &["accounts"]).0, 0);
-    assert_eq!(platform.operate(1, &["refused"]).0, 0);
-    assert_eq!(platform.operate(1, &["elsewhere"]).0, 1);
-    assert_eq!(platform.operate(1, &[]).0, 2);
+    assert_eq!(platform.run_ctl(1, &["accounts"]).0, 0);
+    assert_eq!(platform.run_ctl(1, &["refused"]).0, 0);
+    assert_eq!(platform.run_ctl(1, &["elsewhere"]).0, 1);
+    assert_eq!(platform.run_ctl(1, &[]).0, 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tool_reports_the_burn_of_what_ended() {
+async fn tool_reports_burn_of_ended_jobs() {
     let platform = Platform::start(1, 1).await;
     assert_eq!(platform.submit(1, &job(1), json!([step(1)]), "run_ms=50").await, 200);
     assert_eq!(platform.submit(1, &job(2), json!([step(1)]), "fails run_ms=50").await, 200);
     platform.await_state(&job(1), "completed", Duration::from_secs(5)).await;
     platform.await_state(&job(2), "failed", Duration::from_secs(5)).await;
-    let picture = platform.site.dir().join("burn.svg");
-    let (status, text) = platform.operate(1, &["burn", "--json", "--svg", &picture.display().to_string()]);
+    let chart = platform.env.dir().join("burn.svg");
+    let (status, text) = platform.run_ctl(1, &["burn", "--json", "--svg", &chart.display().to_string()]);
     let report: Value = serde_json::from_str(&text).unwrap();
     let row = &report["rows"][0];
-    // The job of the start-up is among those that ended.
+    // The job that `Platform::start` submits is among those that ended.
     assert_eq!((status, &row["failed"]), (0, &json!(1)), "{text}");
     let (ended, in_time) = (row["ended"].as_u64().unwrap(), row["in_time"].as_u64().unwrap());
     assert_eq!(ended - in_time, 1, "{text}");
     let burn = row["burn"].as_f64().unwrap();
     assert!((burn - 10.0 / ended as f64).abs() < 0.01, "{text}");
-    let drawn = std::fs::read_to_string(picture).unwrap();
+    let drawn = std::fs::read_to_string(chart).unwrap();
     assert!(drawn.starts_with("<svg") && drawn.contains("polyline"), "{drawn}");
 }
--- a/crates/sorrelland/tests/recovery.rs
+++ b/crates/sorrelland/tests/recovery.rs
@@ -1,5 +1,6 @@
-//! How long each kind of loss lasts for callers: time to the next accepted job and to the next start, on real
-//! processes on loopback. Prints a row each; the bounds are the platform's.
+//! Recovery times after the loss of processes or of the store, as seen by callers: time to the next accepted
+//! job and to its start, with real processes on loopback. Each test prints a row; the bounds are those of the
+//! platform.
 
 mod common;
 
@@ -9,58 +10,59 @@
 use common::platform::{Platform, RECOVERY_BOUND, step};
 use serde_json::json;
 
-/// Bound of the platform for catching up after a loss of part of the system, or of the store.
+/// Bound of the platform for recovery from the loss of a part of the system or of the store.
 const CATCH_UP_BOUND: Duration = Duration::from_secs(4);
 
-/// What is lost, and how it comes back.
+/// Lost processes, and whether they are restarted.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
-    /// The planner's process, started again at once.
+    /// Process of the leader, restarted immediately.
     PlannerRestarted,
-    /// The planner's process, for good.
+    /// Process of the leader, lost permanently.
     PlannerGone,
-    /// An entry that does not plan, started again at once.
+    /// Entry that is not the leader, restarted immediately.
     Entry,
-    /// All agents, started again at once.
+    /// All agents, restarted immediately.
     Agents,
-    /// The store, for two seconds; counted from its return.
+    /// Store, unavailable for two seconds; recovery is measured from its return.
     Store,
-    /// Every process but the store and the workers, started again at once.
+    /// All processes except the store and the workers, restarted immediately.
     Everything,
 }
 
+/// Causes a loss and returns the time from which recovery is measured.
 async fn lose(platform: &mut Platform, loss: Loss) -> Instant {
-    let planner = platform.planner();
-    let other = planner % platform.entries() + 1;
+    let leader = platform.leader();
+    let standby = leader % platform.entries() + 1;
     let entries: Vec<usize> = (1..=platform.entries()).collect();
     let agents: Vec<usize> = (1..=platform.workers()).collect();
     let (lost_entries, lost_agents) = match loss {
-        Loss::PlannerRestarted | Loss::PlannerGone => (vec![planner], Vec::new()),
-        Loss::Entry => (vec![other], Vec::new()),
+        Loss::PlannerRestarted | Loss::PlannerGone => (vec![leader], Vec::new()),
+        Loss::Entry => (vec![standby], Vec::new()),
         Loss::Agents => (Vec::new(), agents),
         Loss::Store => (Vec::new(), Vec::new()),
         Loss::Everything => (entries, agents),
     };
-    for at in &lost_entries {
-        platform.site.kill(&format!("entry-{at}"));
+    for index in &lost_entries {
+        platform.env.kill(&format!("entry-{index}"));
     }
-    for at in &lost_agents {
-        platform.site.kill(&format!("agent-{at}"));
+    for index in &lost_agents {
+        platform.env.kill(&format!("agent-{index}"));
     }
     let lost = Instant::now();
     if matches!(loss, Loss::Store) {
-        platform.store_faults(json!({"down": true})).await;
+        platform.set_store_faults(json!({"down": true})).await;
         tokio::time::sleep(Duration::from_secs(2)).await;
-        platform.store_faults(json!({})).await;
+        platform.set_store_faults(json!({})).await;
         return Instant::now();
     }
     if !matches!(loss, Loss::PlannerGone) {
-        for at in lost_entries {
-            platform.start_entry(at);
+        for index in lost_entries {
+            platform.start_entry(index);
         }
     }
-    for at in lost_agents {
-        platform.start_agent(at);
+    for index in lost_agents {
+        platform.start_agent(index);
     }
     lost
 }
