--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -72,9 +72,9 @@
             1 => 0,
             _ => view.worker_rows[group.clone()].iter().map(|row| row.planned).sum(),
         };
-        let leftover = (accelerators, planned, enclosing_free[group.start], slots);
-        if best.as_ref().is_none_or(|(lowest, _)| leftover < *lowest) {
-            best = Some((leftover, group));
+        let score = (accelerators, planned, enclosing_free[group.start], slots);
+        if best.as_ref().is_none_or(|(lowest, _)| score < *lowest) {
+            best = Some((score, group));
         }
     }
     best.map(|(_, group)| group)
@@ -82,12 +82,12 @@
 
 /// Returns for each row the free accelerators of its group at the level `span`.
 fn free_at_level(view: &View, span: Span) -> Vec<u32> {
-    let mut enclosing_free = vec![0; view.worker_rows.len()];
+    let mut free_by_row = vec![0; view.worker_rows.len()];
     for group in view.groups(span).iter().cloned() {
         let free: u32 = view.worker_rows[group.clone()].iter().map(|row| row.free.accelerators).sum();
-        enclosing_free[group].fill(free);
+        free_by_row[group].fill(free);
     }
-    enclosing_free
+    free_by_row
 }
 
 /// Assigns the tasks to the rows of a group, on as few rows as possible.
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -70,11 +70,11 @@
 
     /// Returns the capacity that neither backs a guarantee nor is pinned.
     pub fn spare(&self, capacity: Amount) -> Amount {
-        let mut planned = self.pinned;
+        let mut committed = self.pinned;
         for amount in self.backing.values() {
-            planned += *amount;
+            committed += *amount;
         }
-        capacity.saturating_sub(planned)
+        capacity.saturating_sub(committed)
     }
 
     /// Returns the part of `free` that `account` may use while every guarantee stays reclaimable.
@@ -148,7 +148,11 @@
     for amount in backing_use.backing.values() {
         planned += *amount;
     }
-    let mut held = planned;
-    held += backing_use.pinned;
-    (!capacity.covers(held)).then(|| Breach { worker: worker.clone(), planned, pinned: backing_use.pinned })
+    let mut committed = planned;
+    committed += backing_use.pinned;
+    (!capacity.covers(committed)).then(|| Breach {
+        worker: worker.clone(),
+        planned,
+        pinned: backing_use.pinned,
+    })
 }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -97,7 +97,7 @@
     Deadline,
     /// The account has too many requests in flight.
     AccountLimit,
-    /// The upstream is at its limit of concurrent requests.
+    /// The upstream is at its limit of concurrent requests, or the agent cannot record more idempotency keys.
     Busy,
     /// The process is stopping.
     Draining,
