--- a/crates/emul/src/cluster.rs
+++ b/crates/emul/src/cluster.rs
@@ -188,7 +188,7 @@
                     run.stop_at_ms.get_or_insert(now_ms + self.stop_ms);
                 }
                 None if !node.ended.iter().any(|end| end.task == stop.task && end.run == stop.run) => {
-                    node.rejected.insert(key, "stopped before it was there".to_owned());
+                    node.rejected.insert(key, "stopped before it started".to_owned());
                 }
                 None => (),
             }
@@ -249,13 +249,13 @@
             }
             let mut ending: Vec<(RunKey, EndReason)> = Vec::new();
             for (key, run) in &mut node.runs {
-                let (task, number) = key;
+                let (task, run_number) = key;
                 let Some(step) = jobs.steps.get(&task.job).and_then(|steps| steps.get(task.step as usize))
                 else {
                     continue;
                 };
                 let Some(properties) = jobs.hidden.get(&task.job) else { continue };
-                let unit = (task.job.clone(), task.occurrence, task.step, *number);
+                let unit = (task.job.clone(), task.occurrence, task.step, *run_number);
                 let (members, racks) =
                     running_units.get(&unit).map_or((0, 0), |(members, racks)| (*members, racks.len()));
                 if lapsed {
@@ -284,11 +284,11 @@
                 if step.saves_progress {
                     run.saved_ms = (run.done_ms / SAVE_INTERVAL_MS).floor() * SAVE_INTERVAL_MS;
                 }
-                let work = properties.work_ms.get(task.step as usize).copied().unwrap_or(1_000) as f64;
+                let work_ms = properties.work_ms.get(task.step as usize).copied().unwrap_or(1_000) as f64;
                 let fails = properties.always_fails || node.broken;
-                if fails && run.done_ms >= work / 4.0 {
+                if fails && run.done_ms >= work_ms / 4.0 {
                     ending.push((key.clone(), EndReason::Failed));
-                } else if run.done_ms >= work {
+                } else if run.done_ms >= work_ms {
                     let random_failure = generator.draw_uniform()
                         < failure_shares.get(properties.kind).copied().unwrap_or(0.0);
                     ending.push((
@@ -306,7 +306,7 @@
                     .steps
                     .get(&key.0.job)
                     .and_then(|steps| steps.get(key.0.step as usize))
-                    .is_some_and(|s| s.gang)
+                    .is_some_and(|step| step.gang)
                 {
                     ended_gangs.push((key.0.job.clone(), key.0.occurrence, key.0.step, key.1, reason));
                 }
@@ -319,11 +319,11 @@
                 let members: Vec<RunKey> = node
                     .runs
                     .keys()
-                    .filter(|(task, number)| {
+                    .filter(|(task, run_number)| {
                         task.job == job
                             && task.occurrence == occurrence
                             && task.step == step
-                            && *number == run
+                            && *run_number == run
                     })
                     .cloned()
                     .collect();
@@ -341,15 +341,17 @@
     fn gangs_done_in_step(&self, step_ms: u64, jobs: &JobTable<'_>) -> BTreeSet<(String, u32, u64)> {
         let mut gangs = BTreeSet::new();
         for node in &self.nodes {
-            for ((task, number), run) in node.runs.iter().filter(|((task, _), _)| task.index == 0) {
-                let work = jobs
+            for ((task, run_number), run) in node.runs.iter().filter(|((task, _), _)| task.index == 0) {
+                let work_ms = jobs
                     .hidden
                     .get(&task.job)
                     .and_then(|properties| properties.work_ms.get(task.step as usize));
-                let gang = jobs.steps.get(&task.job).and_then(|steps| steps.get(task.step as usize));
-                let next = run.done_ms + step_ms as f64 * node.speed;
-                if gang.is_some_and(|step| step.gang) && work.is_some_and(|work| next >= *work as f64) {
-                    gangs.insert((task.job.clone(), task.step, *number));
+                let step = jobs.steps.get(&task.job).and_then(|steps| steps.get(task.step as usize));
+                let next_done_ms = run.done_ms + step_ms as f64 * node.speed;
+                if step.is_some_and(|step| step.gang)
+                    && work_ms.is_some_and(|work_ms| next_done_ms >= *work_ms as f64)
+                {
+                    gangs.insert((task.job.clone(), task.step, *run_number));
                 }
             }
         }
@@ -361,7 +363,7 @@
     let Some(run) = node.runs.remove(key) else { return };
     node.last_end += 1;
     let saved = if run.saved_ms > 0.0 { format!("{:.0}", run.saved_ms) } else { String::new() };
-    let (task, number) = key;
-    node.ended.push(End { number: node.last_end, task: task.clone(), run: *number, reason, saved });
-    history.record_end(now_ms, &node.incarnation_name(), node.last_end, task, *number, reason);
+    let (task, run_number) = key;
+    node.ended.push(End { number: node.last_end, task: task.clone(), run: *run_number, reason, saved });
+    history.record_end(now_ms, &node.incarnation_name(), node.last_end, task, *run_number, reason);
 }
--- a/crates/emul/src/measure.rs
+++ b/crates/emul/src/measure.rs
@@ -59,5 +59,5 @@
         );
     }
     let mean = measures.iter().map(Measure::served).sum::<f64>() / measures.len().max(1) as f64;
-    text + &format!("mean share of worth served: {mean:.3} over {} seeds\n", measures.len())
+    text + &format!("mean share of value served: {mean:.3} over {} seeds\n", measures.len())
 }
--- a/crates/emul/src/run.rs
+++ b/crates/emul/src/run.rs
@@ -242,25 +242,25 @@
     if !uncancelled {
         return;
     }
-    let outcomes = &mut measure.kinds[caller.hidden.kind];
-    outcomes.uncancelled += 1;
+    let totals = &mut measure.kinds[caller.hidden.kind];
+    totals.uncancelled += 1;
     let total_work_ms: u64 = caller.hidden.work_ms.iter().sum();
     let (stretch, full_value_ms) = match caller.submission.queue.as_str() {
         "q1" => (1_500, 250),
         "q0" => (3_000, 1_000),
         _ => (3_000, 3_000),
     };
-    let target = total_work_ms * stretch / 1_000 + full_value_ms;
-    let (in_time, late) = [(3.0, 0.9), (4.0, 0.8), (1.0, 0.3)][caller.hidden.kind.min(2)];
-    outcomes.value.1 += in_time;
+    let target_ms = total_work_ms * stretch / 1_000 + full_value_ms;
+    let (in_time_value, late_value) = [(3.0, 0.9), (4.0, 0.8), (1.0, 0.3)][caller.hidden.kind.min(2)];
+    totals.value.1 += in_time_value;
     match age_ms {
-        Some(age) if age <= target => {
-            outcomes.in_time += 1;
-            outcomes.value.0 += in_time;
+        Some(age_ms) if age_ms <= target_ms => {
+            totals.in_time += 1;
+            totals.value.0 += in_time_value;
         }
-        Some(age) if age <= 3 * target => {
-            outcomes.late += 1;
-            outcomes.value.0 += late;
+        Some(age_ms) if age_ms <= 3 * target_ms => {
+            totals.late += 1;
+            totals.value.0 += late_value;
         }
         _ => (),
     }
--- a/crates/emul/src/store.rs
+++ b/crates/emul/src/store.rs
@@ -47,8 +47,8 @@
     pub fn fence_and_recover(&mut self) -> Vec<Job> {
         self.in_flight.clear();
         let rows = self.records.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
-        let (jobs, findings) = record::read(rows);
-        assert!(findings.is_empty(), "undecodable records: {findings:?}");
+        let (jobs, unreadable) = record::read(rows);
+        assert!(unreadable.is_empty(), "undecodable records: {unreadable:?}");
         jobs
     }
 }
