--- a/crates/fleet/src/apply_report.rs
+++ b/crates/fleet/src/apply_report.rs
@@ -84,16 +84,16 @@
         worker.info = info.clone();
         worker.last_report_at = now;
         worker.running = running;
-        let applied_ends = worker.ends.0;
+        let last_applied = worker.applied_end.0;
         for run in &report.running {
             self.record_running(&incarnation, &run.task, run.run, run.percent, &run.saved);
         }
-        for end in report.ended.iter().filter(|end| end.number > applied_ends) {
+        for end in report.ended.iter().filter(|end| end.number > last_applied) {
             let changed = self.record_end(now, wall, &incarnation, end);
             let change = self.change;
             if let Some(worker) = self.workers.get_mut(&incarnation) {
-                worker.ends = (end.number, if changed { change } else { worker.ends.1 });
-                self.agents_to_wake_by_change.insert((worker.ends.1, worker.agent.clone()));
+                worker.applied_end = (end.number, if changed { change } else { worker.applied_end.1 });
+                self.agents_to_wake_by_change.insert((worker.applied_end.1, worker.agent.clone()));
             }
         }
         for entry in &report.not_started {
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Removes a worker incarnation for good and ignores its later reports.
+    /// Removes a worker incarnation permanently: its later reports are ignored.
     fn end_incarnation(&mut self, now: u64, wall: u64, incarnation: &str, reason: &str) {
         self.remove_incarnation(now, wall, incarnation, reason);
         bounded_insert(&mut self.past_worker_incarnations, incarnation.to_owned());
--- a/crates/fleet/src/approvals.rs
+++ b/crates/fleet/src/approvals.rs
@@ -35,7 +35,7 @@
         (*valid_until > now + MIN_REMAINING_VALIDITY_MS).then_some(ticket.as_str())
     }
 
-    /// Returns the newest ticket of a step on a worker, whether or not it is still valid.
+    /// Returns the newest ticket of a step on a worker for a start that was placed with it, even if it has expired.
     pub fn newest_ticket(&self, step: &StepKey, incarnation: &str) -> Option<String> {
         self.by_step.get(step)?.get(incarnation).map(|(ticket, _)| ticket.clone())
     }
--- a/crates/fleet/src/assign.rs
+++ b/crates/fleet/src/assign.rs
@@ -15,8 +15,8 @@
         let incarnation = self.agents.get(agent)?.worker.clone()?;
         let (stored, grant_ms) = (self.stored, self.timing.grant_ms);
         let worker = self.workers.get_mut(&incarnation)?;
-        if worker.ends.1 <= stored {
-            worker.acknowledged_end = worker.ends.0;
+        if worker.applied_end.1 <= stored {
+            worker.acknowledged_end = worker.applied_end.0;
         }
         worker.granted_until = worker.granted_until.max(now + grant_ms);
         self.assignments_number += 1;
@@ -58,7 +58,7 @@
             .get(&incarnation)
             .map(|worker| worker.paces.iter().map(pace).collect())
             .unwrap_or_default();
-        // Unexpected runs were started late, or belong to a run that the planner has given up.
+        // A run that is not placed here was started late, or the planner has given it up.
         let unexpected = running.into_iter().filter(|run| !placed.contains(run));
         assigned.stops.extend(unexpected.map(|(task, run)| Stop { task, run }));
         Some(assigned)
--- a/crates/fleet/src/place.rs
+++ b/crates/fleet/src/place.rs
@@ -109,7 +109,8 @@
 }
 
 impl Planner {
-    /// Places waiting units in order of rank, and preempts others for a unit that doesn't fit where this pays off.
+    /// Places waiting units in order of rank, and preempts others for a unit that doesn't fit if that gains more value
+    /// than it costs.
     pub fn place_waiting_units(&mut self, now: u64, wall: u64) {
         let jobs = &self.jobs;
         self.claims.expire(now, |name, key| {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Returns the waiting units whose dependencies are done and whose time has come, in order of placement.
+    /// Returns the waiting units whose dependencies are done and whose occurrence is due, in order of placement.
     pub fn candidates(&self, now: u64, wall: u64) -> Vec<Candidate> {
         let covered = self.jobs_within_guarantees();
         let start_within_ms =
@@ -240,8 +241,8 @@
         Available { by_id }
     }
 
-    /// Returns a worker for each member of a unit; `None` while they don't all fit or waiting for a better place pays
-    /// off.
+    /// Returns a worker for each member of a unit; `None` while they don't all fit or the unit should wait for a better
+    /// placement.
     fn find_workers(&self, now: u64, wall: u64, candidate: &Candidate) -> Option<Vec<String>> {
         let job = self.jobs.get(&candidate.job)?;
         let step = job.sub.steps.get(candidate.key.step as usize)?;
@@ -328,7 +329,7 @@
     Some(vec![(*best.0).to_owned()])
 }
 
-/// Returns a sort key, the resources that would remain free, accelerators first. The tightest fit leaves whole workers
+/// Returns a sort key: the resources that would remain free, accelerators first. The tightest fit leaves whole workers
 /// free; a step without accelerators prefers workers that are in use.
 fn fit_order(free: &Resources, need: &Resources, worker: &Worker) -> (i64, i64) {
     let mut rest = *free;
@@ -350,7 +351,7 @@
     for (worker, free) in available.by_id.values() {
         racks.entry(worker.rack()).or_default().push((worker, *free));
     }
-    let near = |rack: &str| step.preferred_rack.as_deref().is_none_or(|wanted| wanted == rack);
+    let near = |rack: &str| step.preferred_rack.as_deref().is_none_or(|preferred| preferred == rack);
     let in_one_rack = racks.iter().filter_map(|(rack, workers)| {
         let incarnations = assign_members(workers, step)?;
         let rest: i64 = workers.iter().map(|(_, free)| free.accelerators).sum();
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -67,8 +67,8 @@
     pub(crate) claims: Claims,
     pub(crate) approvals: Approvals,
     pub(crate) mean_work: BTreeMap<String, MeanWork>,
-    /// On-time results of jobs that preempted others, by queue.
-    pub(crate) successes: BTreeMap<String, PreemptionOutcomes>,
+    /// Outcomes of jobs that preempted others, by queue.
+    pub(crate) preemption_outcomes: BTreeMap<String, PreemptionOutcomes>,
     pub(crate) agents: BTreeMap<String, Agent>,
     pub(crate) past_agent_incarnations: BTreeSet<u64>,
     pub(crate) past_worker_incarnations: BTreeSet<String>,
@@ -119,7 +119,7 @@
             claims: Claims::default(),
             approvals: Approvals::default(),
             mean_work: BTreeMap::new(),
-            successes: BTreeMap::new(),
+            preemption_outcomes: BTreeMap::new(),
             agents: BTreeMap::new(),
             past_agent_incarnations: BTreeSet::new(),
             past_worker_incarnations: BTreeSet::new(),
@@ -308,15 +308,15 @@
         let Some(job) = self.jobs.get(name).filter(|job| job.preempted_others) else { return };
         if let Some(in_time) = self.ended_in_time(job) {
             let queue = job.sub.queue.clone();
-            self.successes.entry(queue).or_default().record(in_time);
+            self.preemption_outcomes.entry(queue).or_default().record(in_time);
         }
     }
 
     pub(crate) fn complete_if_done(&mut self, now: u64, wall: u64, name: &str) {
         let Some(job) = self.jobs.get(name).filter(|job| job.outcome.is_none()) else { return };
         let all_done = job.units.values().all(|unit| unit.state == UnitState::Done);
-        let opened = job.units.keys().map(|key| key.occurrence + 1).max().unwrap_or(0);
-        if all_done && opened == job.occurrences() && !job.is_long_running() {
+        let created = job.units.keys().map(|key| key.occurrence + 1).max().unwrap_or(0);
+        if all_done && created == job.occurrences() && !job.is_long_running() {
             self.end_job(now, wall, name, Outcome::Completed);
         }
     }
@@ -357,7 +357,7 @@
     }
 
     fn create_due_occurrences(&mut self, now: u64, wall: u64) {
-        let mut opened = Vec::new();
+        let mut changed = Vec::new();
         for name in &self.live {
             let Some(job) = self.jobs.get_mut(name).filter(|job| job.outcome.is_none()) else { continue };
             let next = job.units.keys().map(|key| key.occurrence + 1).max().unwrap_or(0);
@@ -366,7 +366,7 @@
                     break;
                 }
                 job.create_units(occurrence);
-                opened.push(name.clone());
+                changed.push(name.clone());
             }
             let not_ready: Vec<UnitKey> =
                 job.units.iter().filter(|(_, unit)| unit.since == 0).map(|(key, _)| *key).collect();
@@ -377,7 +377,7 @@
                 }
             }
         }
-        self.changed_jobs.extend(opened);
+        self.changed_jobs.extend(changed);
     }
 
     fn remove_old_jobs(&mut self, wall: u64) {
--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -16,8 +16,8 @@
 /// Progress from which a run is not stopped: that would free its resources hardly earlier than its end.
 const NEARLY_DONE_PERCENT: u64 = 85;
 
-/// Runs are preempted from this time plus the duration of a stop before the latest start; earlier, resources may
-/// still become free by themselves.
+/// Runs are preempted once the latest start is no further away than this time plus the duration of a stop; before
+/// that, resources may still become free by themselves.
 const PREEMPTION_LEAD_MS: u64 = 500;
 
 /// A placed unit that may be preempted.
@@ -104,7 +104,8 @@
         Timeliness::Late | Timeliness::Missed => 0.0,
     };
     let queue = planner.jobs.get(&candidate.job).map(|job| &job.sub.queue);
-    let outcomes = queue.and_then(|queue| planner.successes.get(queue)).copied().unwrap_or_default();
+    let outcomes =
+        queue.and_then(|queue| planner.preemption_outcomes.get(queue)).copied().unwrap_or_default();
     (is_due && current_value > later_value)
         .then_some((current_value - later_value) * outcomes.expected_in_time_share())
 }
@@ -157,7 +158,7 @@
 ) -> Option<(f64, Vec<usize>, Vec<String>)> {
     let group: BTreeSet<&str> = workers.iter().map(|(worker, _)| worker.info.incarnation.as_str()).collect();
     let mut order: Vec<usize> = (0..victims.len())
-        .filter(|index| victims[*index].resources.keys().any(|id| group.contains(id.as_str())))
+        .filter(|index| victims[*index].resources.keys().any(|worker| group.contains(worker.as_str())))
         .collect();
     // Cost per core freed in this group. A gang that also runs elsewhere counts with its whole cost.
     let per_core = |index: &usize| {
@@ -188,7 +189,7 @@
         assigned = assign_members(&free_without(&chosen), step);
     }
     let mut incarnations = assigned?;
-    // Keeps the runs that turn out not to be needed, the most expensive first.
+    // Spares the victims that turn out not to be needed, the most expensive first.
     let mut by_cost = chosen.clone();
     by_cost.sort_by(|one, other| victims[*other].stop_cost.total_cmp(&victims[*one].stop_cost));
     for index in by_cost {
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -104,8 +104,8 @@
                 job.started = read.started;
                 job.units = read.units.into_iter().collect();
                 // The record omits units that equal a newly created one.
-                let opened = job.units.keys().map(|key| key.occurrence + 1).max().unwrap_or(0);
-                (0..opened).for_each(|occurrence| job.create_units(occurrence));
+                let created = job.units.keys().map(|key| key.occurrence + 1).max().unwrap_or(0);
+                (0..created).for_each(|occurrence| job.create_units(occurrence));
             }
             Err(e) => unreadable.push(format!("{key}: {e}")),
         }
--- a/crates/fleet/src/resources.rs
+++ b/crates/fleet/src/resources.rs
@@ -44,7 +44,7 @@
         self.millicores + self.accelerators * CORES_PER_ACCELERATOR * 1_000
     }
 
-    /// Returns the share of `capacity` taken of the most used resource, in thousandths.
+    /// Returns the largest share of `capacity` that this amount takes of any one resource, in thousandths.
     pub fn share_of(&self, capacity: &Self) -> i64 {
         let each = |have: i64, of: i64| if of > 0 { have * 1_000 / of } else { 0 };
         each(self.millicores, capacity.millicores)
--- a/crates/fleet/src/unit.rs
+++ b/crates/fleet/src/unit.rs
@@ -71,11 +71,11 @@
     pub saved: String,
     /// Worker incarnations on which it failed, newest last.
     pub failed_on: Vec<String>,
-    #[serde(skip)]
     /// When `state` last changed, on the monotonic clock; 0 until the unit is ready to be placed.
-    pub since: u64,
     #[serde(skip)]
+    pub since: u64,
     /// Number of the change that placed the newest run.
+    #[serde(skip)]
     pub placed_in: u64,
 }
 
--- a/crates/fleet/src/value.rs
+++ b/crates/fleet/src/value.rs
@@ -1,6 +1,7 @@
 //! Value of a job to its caller, and cost of stopping a run.
 //!
-//! Under overload not every job can end in time; resources then go to the jobs with the highest value for them.
+//! Under overload not every job can end in time; resources then go to the jobs with the highest value
+//! per core-second.
 
 use crate::desired::Queue;
 use crate::job::{Job, Submission};
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -234,7 +234,7 @@
     }
 
     /// Returns whether an ended job completed within its target; `None` for a job that has not ended or was cancelled,
-    /// and for scheduled and lasting jobs, which the objective does not cover.
+    /// and for scheduled and long-running jobs, which the objective does not cover.
     pub(crate) fn ended_in_time(&self, job: &Job) -> Option<bool> {
         let outcome = job.outcome.filter(|outcome| *outcome != Outcome::Cancelled)?;
         if job.sub.schedule.is_some() || job.is_long_running() {
@@ -323,7 +323,7 @@
             };
         };
         let until_latest_start_ms = candidate.latest_start.saturating_sub(wall);
-        let mut workers_by_reason: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut workers_by_category: BTreeMap<&str, usize> = BTreeMap::new();
         let service = self.queue_of(&job.sub.job).map(|queue| queue.service.as_str());
         for worker in self.workers.values().filter(|worker| Some(worker.info.service.as_str()) == service) {
             let availability = availability(worker, now);
@@ -333,10 +333,10 @@
                 "usable" => "with room",
                 other => other,
             };
-            *workers_by_reason.entry(category).or_default() += 1;
+            *workers_by_category.entry(category).or_default() += 1;
         }
         let counts: Vec<String> =
-            workers_by_reason.iter().map(|(category, count)| format!("{count} {category}")).collect();
+            workers_by_category.iter().map(|(category, count)| format!("{count} {category}")).collect();
         let reserve = if self.would_use_reserve(now, wall, candidate, step) {
             "; the free accelerators are reserved for urgent jobs"
         } else {
--- a/crates/fleet/src/worker.rs
+++ b/crates/fleet/src/worker.rs
@@ -29,7 +29,7 @@
     /// Runs listed in the newest report.
     pub running: BTreeMap<(Task, u64), Running>,
     /// Number of the newest end that was applied, and the change number it belongs to.
-    pub ends: (u64, u64),
+    pub applied_end: (u64, u64),
     /// Number of the newest end whose effects are stored.
     pub acknowledged_end: u64,
     pub consecutive_failures: u32,
@@ -56,7 +56,7 @@
             last_report_at: now,
             granted_until: now,
             running: BTreeMap::new(),
-            ends: (0, 0),
+            applied_end: (0, 0),
             acknowledged_end: 0,
             consecutive_failures: 0,
             ejected_until: 0,
@@ -94,8 +94,8 @@
     pub fn record_failure(&mut self, now: u64) {
         self.consecutive_failures += 1;
         if self.consecutive_failures >= EJECT_AFTER_FAILURES {
-            let time = EJECT_MS.saturating_mul(1 << self.ejections.min(4)).min(MAX_EJECT_MS);
-            self.ejected_until = now + time;
+            let eject_ms = EJECT_MS.saturating_mul(1 << self.ejections.min(4)).min(MAX_EJECT_MS);
+            self.ejected_until = now + eject_ms;
             self.ejections += 1;
             // After an ejection, a single further failure ejects the worker again.
             self.consecutive_failures = EJECT_AFTER_FAILURES - 1;
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -32,10 +32,10 @@
 }
 
 fn desired() -> Desired {
-    let advised = Queue { needs_approval: true, ..queue("advised", 1) };
+    let approved_only = Queue { needs_approval: true, ..queue("advised", 1) };
     Desired {
         version: 1,
-        queues: vec![queue("urgent", 0), queue("plain", 1), queue("low", 2), advised],
+        queues: vec![queue("urgent", 0), queue("plain", 1), queue("low", 2), approved_only],
         services: [("svc".to_owned(), Service::default())].into(),
         accounts: [
             ("museum".to_owned(), Account { guaranteed_accelerators: 16 }),
@@ -107,13 +107,13 @@
     }
 
     /// Adds every start to the runs that its agent reports.
-    fn mark_running(&mut self, orders: &[Assignments]) {
-        for orders in orders {
-            for Start { task, run, .. } in &orders.starts {
+    fn mark_running(&mut self, assignments: &[Assignments]) {
+        for assigned in assignments {
+            for Start { task, run, .. } in &assigned.starts {
                 let report = self
                     .reports
                     .iter_mut()
-                    .find(|report| report.worker.as_ref().unwrap().incarnation == orders.incarnation);
+                    .find(|report| report.worker.as_ref().unwrap().incarnation == assigned.incarnation);
                 let (task, run) = (task.clone(), *run);
                 let running = Running { task, run, saved: String::new(), percent: 0, measurement: 0 };
                 report.unwrap().running.push(running);
@@ -122,12 +122,18 @@
     }
 
     /// Reports the end of every run of a job.
-    fn end_runs(&mut self, job: &str, how: EndReason) {
+    fn end_runs(&mut self, job: &str, end_reason: EndReason) {
         for report in &mut self.reports {
-            let (over, rest) = report.running.drain(..).partition(|run| run.task.job == job);
+            let (ended, rest) = report.running.drain(..).partition(|run| run.task.job == job);
             report.running = rest;
-            for (n, Running { task, run, .. }) in (report.ended.len() as u64 + 1..).zip(over) {
-                report.ended.push(End { number: n, task, run, reason: how, saved: String::new() });
+            for (end_number, Running { task, run, .. }) in (report.ended.len() as u64 + 1..).zip(ended) {
+                report.ended.push(End {
+                    number: end_number,
+                    task,
+                    run,
+                    reason: end_reason,
+                    saved: String::new(),
+                });
             }
         }
     }
@@ -142,8 +148,8 @@
     }
 }
 
-fn starts(orders: &[Assignments]) -> Vec<(&str, &Start)> {
-    orders.iter().flat_map(|o| o.starts.iter().map(|start| (o.incarnation.as_str(), start))).collect()
+fn starts(assignments: &[Assignments]) -> Vec<(&str, &Start)> {
+    assignments.iter().flat_map(|a| a.starts.iter().map(|start| (a.incarnation.as_str(), start))).collect()
 }
 
 #[test]
@@ -163,13 +169,13 @@
     let mut fleet = Fleet::new(3);
     let gang = Step { gang: true, ..step(3, 8) };
     fleet.submit("blocker", "plain", vec![step(1, 4)]);
-    let orders = fleet.advance(10);
-    fleet.mark_running(&orders);
+    let assignments = fleet.advance(10);
+    fleet.mark_running(&assignments);
     fleet.submit("gang", "plain", vec![gang]);
     assert!(starts(&fleet.advance(10)).is_empty());
     fleet.end_runs("blocker", EndReason::Done);
-    let orders = fleet.advance(10);
-    let placed = starts(&orders);
+    let assignments = fleet.advance(10);
+    let placed = starts(&assignments);
     assert_eq!(placed.len(), 3);
     assert!(
         placed.iter().all(|(_, start)| start.run == placed[0].1.run),
@@ -181,14 +187,14 @@
 fn place_waits_for_resources_of_stopping_run() {
     let mut fleet = Fleet::new(1);
     fleet.submit("a", "plain", vec![step(1, 8)]);
-    let orders = fleet.advance(10);
-    fleet.mark_running(&orders);
+    let assignments = fleet.advance(10);
+    fleet.mark_running(&assignments);
     fleet.advance(10);
     fleet.planner.cancel(fleet.now, fleet.now, "a");
     fleet.submit("b", "plain", vec![step(1, 8)]);
-    let orders = fleet.advance(10);
-    assert_eq!(orders[0].stops.len(), 1);
-    assert!(orders[0].starts.is_empty(), "started before the stop has ended");
+    let assignments = fleet.advance(10);
+    assert_eq!(assignments[0].stops.len(), 1);
+    assert!(assignments[0].starts.is_empty(), "started before the stop has ended");
     fleet.end_runs("a", EndReason::Stopped);
     assert_eq!(starts(&fleet.advance(10)).len(), 1);
     assert_eq!(fleet.planner.state("a"), Some(JobState::Ended(Outcome::Cancelled)));
@@ -199,9 +205,9 @@
     let mut fleet = Fleet::new(2);
     fleet.submit("a", "plain", vec![step(1, 1)]);
     for run in 1..=2 {
-        let orders = fleet.advance(10);
-        assert_eq!(starts(&orders)[0].1.run, run);
-        fleet.mark_running(&orders);
+        let assignments = fleet.advance(10);
+        assert_eq!(starts(&assignments)[0].1.run, run);
+        fleet.mark_running(&assignments);
         fleet.advance(10);
         fleet.end_runs("a", EndReason::Failed);
     }
@@ -225,9 +231,9 @@
 fn tick_restarts_elsewhere_only_after_lease_end() {
     let mut fleet = Fleet::new(2);
     fleet.submit("a", "plain", vec![step(1, 1)]);
-    let orders = fleet.advance(10);
-    let incarnation = starts(&orders)[0].0.to_owned();
-    fleet.mark_running(&orders);
+    let assignments = fleet.advance(10);
+    let incarnation = starts(&assignments)[0].0.to_owned();
+    fleet.mark_running(&assignments);
     fleet.advance(10);
     let granted_at = fleet.now;
     let unresponsive = fleet
@@ -238,8 +244,8 @@
     fleet.reports.remove(unresponsive);
     let lease_duration_ms = TIMING.grant_ms + TIMING.grant_ms / 50 + TIMING.stop_ms;
     loop {
-        let orders = fleet.advance(100);
-        if !starts(&orders).is_empty() {
+        let assignments = fleet.advance(100);
+        if !starts(&assignments).is_empty() {
             break;
         }
         assert!(fleet.now < granted_at + lease_duration_ms + 500, "not started elsewhere in time");
@@ -279,8 +285,8 @@
     let rows = records.iter().map(|record| (record.key.as_str(), record.value.as_slice()));
     let (jobs, _) = record::read(rows);
     fleet.planner = Planner::new(TIMING, Arc::new(desired()), jobs, fleet.now);
-    let orders = fleet.advance(10);
-    assert_eq!(starts(&orders)[0].1.run, 1, "another run started in place of the stored one");
+    let assignments = fleet.advance(10);
+    assert_eq!(starts(&assignments)[0].1.run, 1, "another run started in place of the stored one");
 }
 
 #[test]
@@ -288,8 +294,8 @@
     let mut fleet = Fleet::new(2);
     fleet.reports[0].worker.as_mut().unwrap().draining = true;
     fleet.submit("a", "plain", vec![step(4, 1)]);
-    let orders = fleet.advance(10);
-    assert!(starts(&orders).iter().all(|(incarnation, _)| *incarnation == "w1"));
+    let assignments = fleet.advance(10);
+    assert!(starts(&assignments).iter().all(|(incarnation, _)| *incarnation == "w1"));
 }
 
 #[test]
@@ -299,17 +305,21 @@
     // Two attempts of the first job, one of the second.
     for job in ["a", "a", "b"] {
         fleet.submit(job, "plain", vec![step(1, 1)]);
-        let orders = fleet.advance(10);
-        assert_eq!(starts(&orders).len(), 1);
-        fleet.mark_running(&orders);
+        let assignments = fleet.advance(10);
+        assert_eq!(starts(&assignments).len(), 1);
+        fleet.mark_running(&assignments);
         fleet.advance(10);
         fleet.end_runs(job, EndReason::Failed);
     }
     fleet.reports[1].worker.as_mut().unwrap().draining = false;
     fleet.advance(10);
     fleet.submit("d", "plain", vec![step(4, 1)]);
-    let orders = fleet.advance(10);
-    assert!(starts(&orders).iter().all(|(incarnation, _)| *incarnation == "w1"), "{:?}", starts(&orders));
+    let assignments = fleet.advance(10);
+    assert!(
+        starts(&assignments).iter().all(|(incarnation, _)| *incarnation == "w1"),
+        "{:?}",
+        starts(&assignments)
+    );
 }
 
 #[test]
@@ -324,18 +334,18 @@
     // Low-priority work may use the reserve once its latest start is near.
     let mut running = 0;
     while running < 2 {
-        let orders = fleet.advance(500);
-        running += starts(&orders).len();
-        fleet.mark_running(&orders);
+        let assignments = fleet.advance(500);
+        running += starts(&assignments).len();
+        fleet.mark_running(&assignments);
         assert!(fleet.now < 400_000, "low-priority jobs do not use the reserve");
     }
     fleet.submit("urgent", "urgent", vec![step(2, 4)]);
     let submitted_at = fleet.now;
     let mut stopping: Option<u64> = None;
     loop {
-        let orders = fleet.advance(50);
+        let assignments = fleet.advance(50);
         let stops: Vec<String> =
-            orders.iter().flat_map(|o| &o.stops).map(|stop| stop.task.job.clone()).collect();
+            assignments.iter().flat_map(|a| &a.stops).map(|stop| stop.task.job.clone()).collect();
         if !stops.is_empty() && stopping.is_none() {
             stopping = Some(fleet.now + TIMING.stop_ms);
         }
@@ -344,7 +354,7 @@
                 fleet.end_runs(job, EndReason::Stopped);
             }
         }
-        let urgent = starts(&orders).iter().filter(|(_, start)| start.task.job == "urgent").count();
+        let urgent = starts(&assignments).iter().filter(|(_, start)| start.task.job == "urgent").count();
         if urgent == 2 {
             break;
         }
@@ -363,13 +373,14 @@
         ..Submission::default()
     };
     fleet.planner.submit(fleet.now, fleet.now, &sub);
-    let orders = fleet.advance(10);
-    assert_eq!(starts(&orders).len(), 2);
-    fleet.mark_running(&orders);
+    let assignments = fleet.advance(10);
+    assert_eq!(starts(&assignments).len(), 2);
+    fleet.mark_running(&assignments);
     fleet.submit("covered", "urgent", vec![step(1, 8)]);
     let submitted_at = fleet.now;
     let latest = submitted_at + TIMING.reclaim_ms - TIMING.stop_ms;
-    let stops = |orders: &[Assignments]| orders.iter().map(|orders| orders.stops.len()).sum::<usize>();
+    let stops =
+        |assignments: &[Assignments]| assignments.iter().map(|assigned| assigned.stops.len()).sum::<usize>();
     while stops(&fleet.advance(50)) == 0 {
         assert!(fleet.now < latest, "no run was stopped in time for the bound");
     }
@@ -385,10 +396,10 @@
         let (account, steps) = ("guest".to_owned(), vec![step]);
         let (job, queue) = (job.to_owned(), queue.to_owned());
         let sub = Submission { job, queue, account, steps, ..Submission::default() };
-        let verdict = fleet.planner.submit(fleet.now, fleet.now, &sub);
-        assert!(matches!(verdict, Admission::Accepted { .. }), "{verdict:?}");
-        let orders = fleet.advance(10);
-        fleet.mark_running(&orders);
+        let admission = fleet.planner.submit(fleet.now, fleet.now, &sub);
+        assert!(matches!(admission, Admission::Accepted { .. }), "{admission:?}");
+        let assignments = fleet.advance(10);
+        fleet.mark_running(&assignments);
     };
     // A run that saves checkpoints costs little to stop.
     submit(&mut fleet, "low", "low", Step { estimate_ms: 60_000, saves_progress: true, ..step(2, 8) });
@@ -396,7 +407,8 @@
         submit(&mut fleet, "holds", "urgent", Step { estimate_ms: 20_000, ..step(1, 8) });
     }
     submit(&mut fleet, "urgent", "urgent", step(3, 8));
-    let stops = |orders: &[Assignments]| orders.iter().map(|orders| orders.stops.len()).sum::<usize>();
+    let stops =
+        |assignments: &[Assignments]| assignments.iter().map(|assigned| assigned.stops.len()).sum::<usize>();
     let max_stops = (0..100).map(|_| stops(&fleet.advance(100))).max();
     assert_eq!(max_stops, Some(expected));
 }
@@ -408,29 +420,29 @@
         let (account, steps) = ("guest".to_owned(), vec![step]);
         let (job, queue) = (job.to_owned(), queue.to_owned());
         let sub = Submission { job, queue, account, steps, ..Submission::default() };
-        let verdict = fleet.planner.submit(fleet.now, fleet.now, &sub);
-        assert!(matches!(verdict, Admission::Accepted { .. }), "{verdict:?}");
+        let admission = fleet.planner.submit(fleet.now, fleet.now, &sub);
+        assert!(matches!(admission, Admission::Accepted { .. }), "{admission:?}");
     };
     // Leaves the reserve for urgent work free.
     submit(&mut fleet, "low", "low", Step { estimate_ms: 60_000, ..step(1, 6) });
     let mut preempted = Vec::new();
     for round in 0..8 {
-        let runs = (0..50).any(|_| {
-            let orders = fleet.advance(100);
-            fleet.mark_running(&orders);
-            starts(&orders).iter().any(|(_, start)| start.task.job == "low")
+        let restarted = (0..50).any(|_| {
+            let assignments = fleet.advance(100);
+            fleet.mark_running(&assignments);
+            starts(&assignments).iter().any(|(_, start)| start.task.job == "low")
         });
-        assert!(runs, "round {round}: the low-priority job does not start");
+        assert!(restarted, "round {round}: the low-priority job does not start");
         let job = format!("urgent{round}");
         submit(&mut fleet, &job, "urgent", step(1, 8));
-        let stopped = (0..60).any(|_| fleet.advance(100).iter().any(|orders| !orders.stops.is_empty()));
+        let stopped = (0..60).any(|_| fleet.advance(100).iter().any(|assigned| !assigned.stops.is_empty()));
         preempted.push(stopped);
         fleet.end_runs("low", if stopped { EndReason::Stopped } else { EndReason::Failed });
         if !stopped {
             break;
         }
-        let orders = fleet.advance(10);
-        fleet.mark_running(&orders);
+        let assignments = fleet.advance(10);
+        fleet.mark_running(&assignments);
         // The job takes several times its estimate and ends late, so the preemption gained nothing.
         for _ in 0..200 {
             fleet.advance(100);
@@ -453,8 +465,8 @@
         let pinned = Step { label: Some(rack.to_owned()), estimate_ms: 60_000, ..step(1, 8) };
         fleet.submit(job, "urgent", vec![pinned]);
     }
-    let orders = fleet.advance(10);
-    fleet.mark_running(&orders);
+    let assignments = fleet.advance(10);
+    fleet.mark_running(&assignments);
     fleet.submit("gang", "urgent", vec![Step { gang: true, prefers_one_rack: true, ..step(3, 8) }]);
     let submitted_at = fleet.now;
     while starts(&fleet.advance(50)).len() < 3 {
@@ -476,9 +488,9 @@
     fleet.planner.submit(fleet.now, fleet.now, &sub);
     let mut started: Vec<(u64, Task)> = Vec::new();
     while fleet.now < 15_000 {
-        let orders = fleet.advance(100);
-        fleet.mark_running(&orders);
-        started.extend(starts(&orders).into_iter().map(|(_, start)| (fleet.now, start.task.clone())));
+        let assignments = fleet.advance(100);
+        fleet.mark_running(&assignments);
+        started.extend(starts(&assignments).into_iter().map(|(_, start)| (fleet.now, start.task.clone())));
         fleet.advance(10);
         fleet.end_runs("a", EndReason::Done);
     }
@@ -489,22 +501,24 @@
 }
 
 #[test]
-fn report_end_of_lasting_subtask_restarts_it() {
+fn report_end_of_long_running_subtask_restarts_it() {
     let mut fleet = Fleet::new(1);
     fleet.submit("a", "plain", vec![Step { long_running: true, ..step(1, 1) }]);
-    for how in [EndReason::Done, EndReason::Failed, EndReason::Failed, EndReason::Failed, EndReason::Lapsed] {
-        let orders = fleet.advance(4_000);
-        assert_eq!(starts(&orders).len(), 1, "after {how:?}");
-        fleet.mark_running(&orders);
+    for reason in
+        [EndReason::Done, EndReason::Failed, EndReason::Failed, EndReason::Failed, EndReason::Lapsed]
+    {
+        let assignments = fleet.advance(4_000);
+        assert_eq!(starts(&assignments).len(), 1, "after {reason:?}");
+        fleet.mark_running(&assignments);
         fleet.advance(10);
-        fleet.end_runs("a", how);
+        fleet.end_runs("a", reason);
         fleet.advance(10);
     }
     assert_eq!(fleet.planner.state("a"), Some(JobState::Running));
 }
 
 #[test]
-fn place_advised_step_only_on_approved_workers() {
+fn place_step_that_needs_approval_only_on_approved_workers() {
     let mut fleet = Fleet::new(3);
     fleet.submit("a", "advised", vec![step(2, 1)]);
     assert!(starts(&fleet.advance(10)).is_empty());
@@ -512,8 +526,8 @@
     assert_eq!((step.0.as_str(), requested.len()), ("a", 3));
     let admitted = [("w2".to_owned(), "ticket-2".to_owned())];
     fleet.planner.record_approvals(fleet.now, &step, &requested, &admitted, 3_000);
-    let orders = fleet.advance(10);
-    let placed = starts(&orders);
+    let assignments = fleet.advance(10);
+    let placed = starts(&assignments);
     assert_eq!(placed.len(), 2);
     assert!(
         placed
@@ -523,21 +537,20 @@
 }
 
 #[test]
-fn tick_pauses_filler_beside_subtask_near_latency_target() {
+fn tick_pauses_idle_cpu_run_beside_subtask_near_latency_target() {
     let mut fleet = Fleet::new(1);
     fleet.submit("serve", "plain", vec![Step { long_running: true, target_ms: Some(100), ..step(1, 1) }]);
     fleet.submit("fill", "low", vec![Step { uses_idle_cpu: true, ..step(1, 0) }]);
-    let orders = fleet.advance(10);
-    fleet.mark_running(&orders);
-    assert_eq!(starts(&orders).len(), 2);
+    let assignments = fleet.advance(10);
+    fleet.mark_running(&assignments);
+    assert_eq!(starts(&assignments).len(), 2);
     let report_latency = |fleet: &mut Fleet, ms: u64| {
         for run in fleet.reports[0].running.iter_mut().filter(|run| run.task.job == "serve") {
             run.measurement = ms;
         }
     };
     report_latency(&mut fleet, 95);
-    let pace =
-        |orders: &[Assignments]| orders[0].paces.first().map(|pace| (pace.task.job.clone(), pace.percent));
+    let pace = |all: &[Assignments]| all[0].paces.first().map(|pace| (pace.task.job.clone(), pace.percent));
     assert_eq!(pace(&fleet.advance(500)), Some(("fill".to_owned(), 0)));
     report_latency(&mut fleet, 20);
     fleet.advance(500);
--- a/crates/fleet/tests/records.rs
+++ b/crates/fleet/tests/records.rs
@@ -1,4 +1,4 @@
-//! Durable records of jobs.
+//! Tests that the stored records of jobs can be read back.
 
 use sorrelland_fleet::job::{Step, Submission};
 use sorrelland_fleet::record::{self, new_job};
@@ -15,8 +15,8 @@
 fn read_back(job: &sorrelland_fleet::Job) -> sorrelland_fleet::Job {
     let records = [record::submitted(job).unwrap(), record::progress(job).unwrap()];
     let rows: Vec<(&str, &[u8])> = records.iter().map(|r| (r.key.as_str(), r.value.as_slice())).collect();
-    let (jobs, findings) = record::read(rows.into_iter());
-    assert!(findings.is_empty(), "{findings:?}");
+    let (jobs, unreadable) = record::read(rows.into_iter());
+    assert!(unreadable.is_empty(), "{unreadable:?}");
     jobs.into_iter().next().unwrap()
 }
 
@@ -34,7 +34,7 @@
 #[test]
 fn read_reports_records_that_cannot_be_read() {
     let rows: [(&str, &[u8]); 2] = [("j/00000000000000a1", b"{"), ("s/00000000000000a2", b"{}")];
-    let (jobs, findings) = record::read(rows.into_iter());
+    let (jobs, unreadable) = record::read(rows.into_iter());
     assert!(jobs.is_empty());
-    assert_eq!(findings.len(), 2);
+    assert_eq!(unreadable.len(), 2);
 }
