--- a/crates/control/src/agent.rs
+++ b/crates/control/src/agent.rs
@@ -8,7 +8,7 @@
 use futures::future::join_all;
 use http::{Method, StatusCode};
 use sorrelland_fleet::assignments::{Pace, Start, Stop};
-use sorrelland_platform::serve::{self, Answer, Call};
+use sorrelland_platform::serve::{self, Request, Response};
 use sorrelland_platform::worker::{Error, StartOutcome, StartRequest, decode_announcement};
 use sorrelland_platform::{Settings, Store, WorkerClient};
 use tokio::sync::Notify;
@@ -56,7 +56,7 @@
     settings: Settings,
     incarnation: u64,
     leadership: Leadership,
-    links: EntryPool,
+    pool: EntryPool,
     worker: WorkerClient,
     worker_state: Mutex<WorkerState>,
     entries: Mutex<Vec<String>>,
@@ -84,7 +84,7 @@
     let agent = Arc::new(Agent {
         incarnation: rand::random(),
         leadership: Leadership::default(),
-        links: EntryPool::new(&settings.store_address),
+        pool: EntryPool::new(&settings.store_address),
         worker: WorkerClient::new(&worker.to_string()),
         worker_state: Mutex::new(WorkerState::new(settings.bounds.max_lease_ms, settings.bounds.stop_ms)),
         entries: Mutex::default(),
@@ -95,9 +95,9 @@
     });
     let handler = {
         let agent = agent.clone();
-        Arc::new(move |call: Call| {
-            let answer = agent.handle_announcement(&call);
-            async move { answer }.boxed()
+        Arc::new(move |request: Request| {
+            let response = agent.handle_announcement(&request);
+            async move { response }.boxed()
         })
     };
     let server = serve::start(listen, handler)?;
@@ -118,15 +118,15 @@
 }
 
 impl Agent {
-    /// Answers an announcement of the worker, or the worker's notice that it leaves.
-    fn handle_announcement(&self, call: &Call) -> Answer {
+    /// Handles an announcement of the worker, or its notice that it leaves.
+    fn handle_announcement(&self, request: &Request) -> Response {
         let Some(incarnation) =
-            call.path.strip_prefix(ANNOUNCEMENT_PATH_PREFIX).filter(|incarnation| !incarnation.is_empty())
+            request.path.strip_prefix(ANNOUNCEMENT_PATH_PREFIX).filter(|incarnation| !incarnation.is_empty())
         else {
-            return Answer::new(StatusCode::NOT_FOUND);
+            return Response::new(StatusCode::NOT_FOUND);
         };
-        match call.method {
-            Method::PUT => match decode_announcement(incarnation, &call.body) {
+        match request.method {
+            Method::PUT => match decode_announcement(incarnation, &request.body) {
                 Ok(announcement) => {
                     let draining = announcement.info.draining;
                     if lock(&self.worker_state).apply_announcement(now_ms(), announcement) {
@@ -134,20 +134,20 @@
                         self.report_due.notify_one();
                         self.poll_due.notify_one();
                     }
-                    Answer::new(StatusCode::OK).with_json(&serde_json::json!({}))
+                    Response::new(StatusCode::OK).json(&serde_json::json!({}))
                 }
                 Err(e) => {
                     log::warn!("event=announcement_skipped worker={incarnation} cause=\"{e}\"");
-                    Answer::new(StatusCode::BAD_REQUEST)
+                    Response::new(StatusCode::BAD_REQUEST)
                 }
             },
             Method::DELETE => {
                 lock(&self.worker_state).record_departure(incarnation);
                 log::info!("event=worker_left worker={incarnation}");
                 self.report_due.notify_one();
-                Answer::new(StatusCode::OK)
+                Response::new(StatusCode::OK)
             }
-            _ => Answer::new(StatusCode::METHOD_NOT_ALLOWED),
+            _ => Response::new(StatusCode::METHOD_NOT_ALLOWED),
         }
     }
 
@@ -183,9 +183,9 @@
         };
         let report = lock(&self.worker_state).build_report(&self.settings.instance, self.incarnation, seq);
         let sent = now_ms();
-        let answer =
-            call(&self.links, &leader.address, REPORT_TIMEOUT, async |rpc, cx| rpc.report(cx, report).await);
-        match answer.await {
+        let reply =
+            call(&self.pool, &leader.address, REPORT_TIMEOUT, async |rpc, cx| rpc.report(cx, report).await);
+        match reply.await {
             Ok(ReportReply::Assignments { epoch, assignments, entries }) => {
                 if !entries.is_empty() {
                     *lock(&self.entries) = entries;
@@ -214,12 +214,12 @@
         }
     }
 
-    /// Asks the entries for the leader, as the last known leader, at `unresponsive`, has not replied.
+    /// Asks the entries for the leader, since the last known one, at the address `unresponsive`, has not replied.
     async fn ask_entries_for_leader(&self, unresponsive: &str) {
         let entries = lock(&self.entries).clone();
         let pings = entries.iter().filter(|address| *address != unresponsive).map(|address| async move {
             let ping = Ping { address: String::new(), leader: self.leadership.leader(), version: u64::MAX };
-            call(&self.links, address, PING_TIMEOUT, async |rpc, cx| rpc.ping(cx, ping).await).await
+            call(&self.pool, address, PING_TIMEOUT, async |rpc, cx| rpc.ping(cx, ping).await).await
         });
         for pong in join_all(pings).await.into_iter().flatten() {
             self.leadership.update_leader(pong.leader);
@@ -278,7 +278,7 @@
             state.record_start_attempt(start);
             (state.epoch(), lease_end_ms)
         };
-        let order = StartRequest {
+        let request = StartRequest {
             task: &start.task,
             run: start.run,
             spec: &start.spec,
@@ -288,7 +288,7 @@
             token,
         };
         let (job, task, run) = (&start.task.job, &start.task, start.run);
-        match self.worker.start(incarnation, &order).await {
+        match self.worker.start(incarnation, &request).await {
             Ok((StartOutcome::Running, clock_ms)) => {
                 log::info!(
                     "event=started job={job} task={task} run={run} worker={incarnation} token={token}"
--- a/crates/control/src/callers.rs
+++ b/crates/control/src/callers.rs
@@ -8,7 +8,7 @@
 use sorrelland_fleet::desired::Queue;
 use sorrelland_fleet::job::{JobState, Outcome};
 use sorrelland_platform::jobs;
-use sorrelland_platform::serve::{Answer, Call};
+use sorrelland_platform::serve::{Request, Response};
 use sorrelland_wire::connect::CallError;
 
 use crate::calls::{PlannerReply as Reply, PlannerRequest, call};
@@ -30,61 +30,61 @@
 /// Minimum wait for the planner, in milliseconds: an append to the store and a round trip to the planner.
 const MIN_PLANNER_WAIT_MS: u64 = 60;
 
-/// Time after which callers should retry while there is no planner, in milliseconds: the time of a takeover.
+/// Time after which callers should retry while there is no planner, in milliseconds: the duration of a takeover.
 const TAKEOVER_RETRY_MS: u64 = 2_000;
 
 impl Entry {
-    /// Answers a caller and records the latency.
-    pub(crate) async fn answer(self: Arc<Self>, call: Call) -> Answer {
+    /// Responds to a caller and records the latency.
+    pub(crate) async fn answer(self: Arc<Self>, http_request: Request) -> Response {
         let began = Instant::now();
-        let answer = self.route(&call).await;
-        let what = match call.method {
+        let response = self.route(&http_request).await;
+        let operation = match http_request.method {
             Method::POST => "submit",
             Method::DELETE => "cancel",
             _ => "ask",
         };
-        metrics::record_request(what, answer.status, began);
-        answer
+        metrics::record_request(operation, response.status, began);
+        response
     }
 
-    async fn route(&self, call: &Call) -> Answer {
+    async fn route(&self, http_request: &Request) -> Response {
         let desired = self.desired.borrow().clone();
         if desired.version == 0 {
-            return Answer::new(StatusCode::SERVICE_UNAVAILABLE).with_retry_after_ms(TAKEOVER_RETRY_MS);
+            return Response::new(StatusCode::SERVICE_UNAVAILABLE).with_retry_after_ms(TAKEOVER_RETRY_MS);
         }
-        let Some(queue) = desired.queue_for(&call.host, &call.path) else {
+        let Some(queue) = desired.queue_for(&http_request.host, &http_request.path) else {
             return refuse(StatusCode::NOT_FOUND, "no such queue");
         };
-        let account = match (&call.key, queue.public) {
+        let account = match (&http_request.key, queue.public) {
             (Some(key), _) if desired.keys.contains_key(key) => desired.keys[key].clone(),
             (None, true) => String::new(),
             (Some(_), true) => String::new(),
             _ => return refuse(StatusCode::UNAUTHORIZED, "unknown key"),
         };
-        let job = &call.path[queue.path_prefix.len()..];
-        match (&call.method, job) {
-            (&Method::GET, "") => self.pending(queue, call).await,
+        let job = &http_request.path[queue.path_prefix.len()..];
+        match (&http_request.method, job) {
+            (&Method::GET, "") => self.pending(queue, http_request).await,
             (_, "") => refuse(StatusCode::METHOD_NOT_ALLOWED, "job name required"),
             (_, job) if !is_job_name(job) => {
                 refuse(StatusCode::BAD_REQUEST, "job name must have 16 hexadecimal digits")
             }
-            (&Method::POST, job) => self.submit(queue, &account, job, call).await,
-            (&Method::GET, job) => self.state(job, call).await,
-            (&Method::DELETE, job) => self.cancel(job, call).await,
+            (&Method::POST, job) => self.submit(queue, &account, job, http_request).await,
+            (&Method::GET, job) => self.state(job, http_request).await,
+            (&Method::DELETE, job) => self.cancel(job, http_request).await,
             _ => refuse(StatusCode::METHOD_NOT_ALLOWED, "method not allowed"),
         }
     }
 
-    async fn submit(&self, queue: &Queue, account: &str, job: &str, call: &Call) -> Answer {
-        let sub = match jobs::decode(&call.body, job, &queue.name, account) {
+    async fn submit(&self, queue: &Queue, account: &str, job: &str, http_request: &Request) -> Response {
+        let sub = match jobs::decode(&http_request.body, job, &queue.name, account) {
             Ok(sub) => sub,
             Err(e) => {
                 log::info!("event=malformed job={job} queue={} cause=\"{e}\"", queue.name);
                 return refuse(StatusCode::BAD_REQUEST, &e.to_string());
             }
         };
-        match self.request_planner(PlannerRequest::Submit(sub), call).await {
-            RequestResult::Reply(Reply::Accepted) => Answer::new(StatusCode::OK).with_json(&json!({})),
+        match self.request_planner(PlannerRequest::Submit(sub), http_request).await {
+            RequestResult::Reply(Reply::Accepted) => Response::new(StatusCode::OK).json(&json!({})),
             RequestResult::Reply(Reply::Refused { why, retry_after_ms }) => {
                 refuse(StatusCode::TOO_MANY_REQUESTS, &why).with_retry_after_ms(retry_after_ms)
             }
@@ -92,8 +92,8 @@
         }
     }
 
-    async fn state(&self, job: &str, call: &Call) -> Answer {
-        match self.request_planner(PlannerRequest::State(job.to_owned()), call).await {
+    async fn state(&self, job: &str, http_request: &Request) -> Response {
+        match self.request_planner(PlannerRequest::State(job.to_owned()), http_request).await {
             RequestResult::Reply(Reply::State(Some(state))) => {
                 let text = match state {
                     JobState::Queued => "queued",
@@ -102,33 +102,37 @@
                     JobState::Ended(Outcome::Failed) => "failed",
                     JobState::Ended(Outcome::Cancelled) => "cancelled",
                 };
-                Answer::new(StatusCode::OK).with_json(&json!({"state": text}))
+                Response::new(StatusCode::OK).json(&json!({"state": text}))
             }
             RequestResult::Reply(Reply::State(None)) => refuse(StatusCode::GONE, "no such job"),
             other => unanswered("state", job, &other),
         }
     }
 
-    async fn cancel(&self, job: &str, call: &Call) -> Answer {
-        match self.request_planner(PlannerRequest::Cancel(job.to_owned()), call).await {
-            RequestResult::Reply(Reply::Cancelled(true)) => Answer::new(StatusCode::OK).with_json(&json!({})),
+    async fn cancel(&self, job: &str, http_request: &Request) -> Response {
+        match self.request_planner(PlannerRequest::Cancel(job.to_owned()), http_request).await {
+            RequestResult::Reply(Reply::Cancelled(true)) => Response::new(StatusCode::OK).json(&json!({})),
             RequestResult::Reply(Reply::Cancelled(false)) => refuse(StatusCode::GONE, "no such job"),
             other => unanswered("cancel", job, &other),
         }
     }
 
-    async fn pending(&self, queue: &Queue, call: &Call) -> Answer {
-        match self.request_planner(PlannerRequest::Pending(queue.name.clone()), call).await {
+    async fn pending(&self, queue: &Queue, http_request: &Request) -> Response {
+        match self.request_planner(PlannerRequest::Pending(queue.name.clone()), http_request).await {
             RequestResult::Reply(Reply::Pending(count)) => {
-                Answer::new(StatusCode::OK).with_json(&json!({"pending": count}))
+                Response::new(StatusCode::OK).json(&json!({"pending": count}))
             }
             other => unanswered("pending", &queue.name, &other),
         }
     }
 
     /// Retries a request until the planner replies or the caller's wait, less the margin for the reply, has passed.
-    pub(crate) async fn request_planner(&self, request: PlannerRequest, call: &Call) -> RequestResult {
-        let wait = Duration::from_millis(wait_for_planner_ms(call.wait_ms));
+    pub(crate) async fn request_planner(
+        &self,
+        request: PlannerRequest,
+        http_request: &Request,
+    ) -> RequestResult {
+        let wait = Duration::from_millis(wait_for_planner_ms(http_request.wait_ms));
         let deadline = tokio::time::Instant::now() + wait;
         let mut unresolved = false;
         loop {
@@ -194,13 +198,13 @@
     name.len() == 16 && name.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-fn refuse(status: StatusCode, why: &str) -> Answer {
-    Answer::new(status).with_json(&json!({"error": why}))
+fn refuse(status: StatusCode, why: &str) -> Response {
+    Response::new(status).json(&json!({"error": why}))
 }
 
 /// Answers a caller whose request got no usable reply: with 503 only if certainly nothing was done.
-fn unanswered(what: &str, name: &str, result: &RequestResult) -> Answer {
-    log::warn!("event=unanswered what={what} job={name} asked={result:?}");
+fn unanswered(operation: &str, name: &str, result: &RequestResult) -> Response {
+    log::warn!("event=unanswered what={operation} job={name} asked={result:?}");
     match result {
         RequestResult::NeverSent => refuse(StatusCode::SERVICE_UNAVAILABLE, "no planner reachable")
             .with_retry_after_ms(TAKEOVER_RETRY_MS),
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use sorrelland_fleet::desired::Desired;
 use sorrelland_fleet::planner::Timing;
-use sorrelland_platform::serve::{self, Answer, Handler};
+use sorrelland_platform::serve::{self, Handler, Response};
 use sorrelland_platform::{PolicyClient, Settings, Store, desired};
 use sorrelland_wire::connect::{self, CallError};
 use tarpc::context::Context;
@@ -30,8 +30,8 @@
 /// Topic and key of the desired state.
 const DESIRED: (&str, &str) = ("keyed.op", "config");
 
-/// Maximum wait of a read of the desired state or the claims. With the slack of a read it stays below the 2 s within
-/// which a new desired state must be in force, even if a connection has failed without an error.
+/// Maximum wait of a read of the desired state or the claims. Together with the margin that a read adds, it stays below
+/// the 2 s within which a new desired state must be in force, even if a connection has failed without an error.
 const FOLLOW_WAIT: Duration = Duration::from_millis(800);
 
 /// Share of the platform's maximum lease that a grant covers, in percent. The rest allows for clock differences and
@@ -58,7 +58,8 @@
 /// Upper bound of the delays that spread the claims of the entries, in milliseconds.
 const MAX_CLAIM_DELAY_MS: u64 = 300;
 
-/// Time for which an entry counts as live after its last ping, or its first report by another entry, in milliseconds.
+/// Time for which an entry counts as live after its last ping, or after another entry first listed it, in
+/// milliseconds.
 const ENTRY_EXPIRY_MS: u64 = 5_000;
 
 /// Maximum time for open calls and the step-down when the process stops.
@@ -74,7 +75,7 @@
     /// The desired state as stored, for entries that cannot reach the store.
     raw_desired: Mutex<Vec<u8>>,
     active_planner: Mutex<Option<Arc<ActivePlanner>>>,
-    /// Addresses of entries, with the time of their last ping or first report by another entry.
+    /// Addresses of entries, with the time of their last ping or of their first listing by another entry.
     entries: Mutex<BTreeMap<String, u64>>,
     planner_replied_at: Mutex<u64>,
     stopping: watch::Sender<bool>,
@@ -88,8 +89,8 @@
 pub async fn run(settings: Settings, path: PathBuf, metrics_port: Option<u16>) -> Result<()> {
     let callers = settings.caller_address.ok_or(Error::Missing("the address for callers"))?;
     let readiness = settings.readiness_address.ok_or(Error::Missing("the address for readiness checks"))?;
-    let asked = signals::listen();
-    tokio::spawn(reload::watch_settings(path, settings.clone(), asked.clone()));
+    let signal_state = signals::listen();
+    tokio::spawn(reload::watch_settings(path, settings.clone(), signal_state.clone()));
     let store = Store::new(&settings.store_address);
     let address = settings.peer_address();
     let listener = TcpListener::bind(&address).await?;
@@ -106,22 +107,22 @@
         planner_replied_at: Mutex::default(),
         stopping: watch::Sender::new(false),
     });
-    let operators = entry.clone();
-    let show = Arc::new(move |call| operators.clone().answer_operator(call).boxed());
-    serve_metrics(&entry.settings, metrics_port, show)?;
-    let ready = {
+    let operator_entry = entry.clone();
+    let handle_operator = Arc::new(move |request| operator_entry.clone().answer_operator(request).boxed());
+    serve_metrics(&entry.settings, metrics_port, handle_operator)?;
+    let readiness_server = {
         let entry = entry.clone();
         serve::start(
             readiness,
             Arc::new(move |_| {
                 let status = if entry.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-                async move { Answer::new(status) }.boxed()
+                async move { Response::new(status) }.boxed()
             }),
         )?
     };
-    let server = {
+    let caller_server = {
         let entry = entry.clone();
-        serve::start(callers, Arc::new(move |call| entry.clone().answer(call).boxed()))?
+        serve::start(callers, Arc::new(move |request| entry.clone().answer(request).boxed()))?
     };
     log::info!("event=started role=entry instance={} life={}", entry.me.instance, entry.me.incarnation);
     tokio::spawn(entry.clone().serve_peers(listener));
@@ -129,15 +130,15 @@
     tokio::spawn(entry.clone().follow_claims(store.clone()));
     tokio::spawn(entry.clone().run_pings());
     tokio::spawn(entry.clone().run_leadership(store.clone()));
-    wait_for_stop(asked).await;
+    wait_for_stop(signal_state).await;
     log::info!("event=stopping role=entry instance={}", entry.me.instance);
     entry.stopping.send_replace(true);
     let closing = async {
-        if let Err(e) = server.close().await {
+        if let Err(e) = caller_server.close().await {
             log::warn!("event=server_failed cause=\"{e}\"");
         }
         entry.release_leadership(&store).await;
-        if let Err(e) = ready.close().await {
+        if let Err(e) = readiness_server.close().await {
             log::warn!("event=server_failed cause=\"{e}\"");
         }
     };
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -9,7 +9,7 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
-use sorrelland_platform::serve::{self, Answer, Handler};
+use sorrelland_platform::serve::{self, Handler, Response};
 
 /// Result of serving metrics.
 pub type Result<T> = serve::Result<T>;
@@ -28,7 +28,7 @@
 
 static METRICS: OnceLock<Metrics> = OnceLock::new();
 
-/// Sets up the instruments of this process and starts `handler` at `address`, which serves them.
+/// Sets up the instruments of this process, and starts a server at `address` whose `handler` serves them.
 ///
 /// # Errors
 ///
@@ -67,13 +67,13 @@
 }
 
 /// Answers with the metrics of this process in the Prometheus text format.
-pub(crate) fn render() -> Answer {
-    let Some(metrics) = METRICS.get() else { return Answer::new(StatusCode::SERVICE_UNAVAILABLE) };
+pub(crate) fn render() -> Response {
+    let Some(metrics) = METRICS.get() else { return Response::new(StatusCode::SERVICE_UNAVAILABLE) };
     match TextEncoder::new().encode_to_string(&metrics.registry.gather()) {
-        Ok(text) => Answer { body: text, ..Answer::new(StatusCode::OK) },
+        Ok(text) => Response { body: text, ..Response::new(StatusCode::OK) },
         Err(e) => {
             log::warn!("event=no_metrics cause=\"{e}\"");
-            Answer::new(StatusCode::INTERNAL_SERVER_ERROR)
+            Response::new(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -4,7 +4,7 @@
 
 use http::{Method, StatusCode};
 use sorrelland_fleet::view::Query;
-use sorrelland_platform::serve::{Answer, Call};
+use sorrelland_platform::serve::{Request, Response};
 
 use crate::callers::RequestResult;
 use crate::calls::{PlannerReply as Reply, PlannerRequest};
@@ -14,24 +14,24 @@
 const VIEW_PATH_PREFIX: &str = "/show/";
 
 impl Entry {
-    /// Answers an operator's call with a view of the planner, or with this process's metrics on any other path.
-    pub(crate) async fn answer_operator(self: Arc<Self>, call: Call) -> Answer {
-        let Some(view) = call.path.strip_prefix(VIEW_PATH_PREFIX) else { return metrics::render() };
-        if call.method != Method::GET {
-            return Answer::new(StatusCode::METHOD_NOT_ALLOWED);
+    /// Responds to an operator with a view of the planner, or with this process's metrics on any other path.
+    pub(crate) async fn answer_operator(self: Arc<Self>, request: Request) -> Response {
+        let Some(view) = request.path.strip_prefix(VIEW_PATH_PREFIX) else { return metrics::render() };
+        if request.method != Method::GET {
+            return Response::new(StatusCode::METHOD_NOT_ALLOWED);
         }
         let Some(query) = parse_query(view) else {
             let available = "jobs, workers, accounts, refused, burn, why/JOB";
             let body =
                 serde_json::json!({"error": format!("unknown view {view:?}; available views: {available}")});
-            return Answer::new(StatusCode::NOT_FOUND).with_json(&body);
+            return Response::new(StatusCode::NOT_FOUND).json(&body);
         };
-        match self.request_planner(PlannerRequest::View(query), &call).await {
-            RequestResult::Reply(Reply::View(body)) => Answer { body, ..Answer::new(StatusCode::OK) },
+        match self.request_planner(PlannerRequest::View(query), &request).await {
+            RequestResult::Reply(Reply::View(body)) => Response { body, ..Response::new(StatusCode::OK) },
             result => {
                 log::info!("event=unanswered what=show view={view} asked={result:?}");
                 let body = serde_json::json!({"error": "the planner did not answer"});
-                Answer::new(StatusCode::SERVICE_UNAVAILABLE).with_json(&body)
+                Response::new(StatusCode::SERVICE_UNAVAILABLE).json(&body)
             }
         }
     }
