--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -15,7 +15,7 @@
 const CLOCK_LAG_PERCENT: u64 = 2;
 
 /// Time after which an answered stop is repeated if the run is still listed: longer than the longest `stop_ms` of
-/// the users' sheets.
+/// any deployment.
 const STOP_RETRY_DELAY_MS: u64 = 1_500;
 
 /// Margin on top of all bounds before a lease counts as expired.
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub struct WorkerState {
     /// Longest remaining time that a lease on the worker may have.
-    longest_lease_ms: u64,
+    max_lease_ms: u64,
     /// Longest time that a stop takes.
     stop_ms: u64,
     announced: Option<Announcement>,
@@ -47,8 +47,8 @@
     /// Runs for which a start was sent and no final answer has arrived.
     start_attempts: BTreeSet<RunKey>,
     ended: Vec<End>,
-    /// Runs that can no longer arrive, with the reason and the number of polls begun by then. The first poll begun
-    /// later shows whether the run is present.
+    /// Runs that the worker will not start from now on, with the reason and the number of polls begun by then. The
+    /// first poll begun later shows whether the run is present.
     absence_checks: BTreeMap<RunKey, (String, u64)>,
     /// Number of polls begun. Clocks are too coarse to tell whether a poll began before an answer arrived.
     polls_begun: u64,
@@ -62,8 +62,8 @@
 
 impl WorkerState {
     /// Creates the state of a worker that has not announced itself yet.
-    pub fn new(longest_lease_ms: u64, stop_ms: u64) -> Self {
-        Self { longest_lease_ms, stop_ms, ..Self::default() }
+    pub fn new(max_lease_ms: u64, stop_ms: u64) -> Self {
+        Self { max_lease_ms, stop_ms, ..Self::default() }
     }
 
     /// Applies an announcement; returns whether a change should be reported to the planner at once.
@@ -88,7 +88,7 @@
             }
             None => {
                 // An earlier incarnation of this agent may have extended leases that are unknown to this one.
-                self.leased_until = self.leased_until.max(now + self.longest_lease_ms);
+                self.leased_until = self.leased_until.max(now + self.max_lease_ms);
                 self.announced = Some(announcement);
                 true
             }
@@ -112,7 +112,7 @@
             epoch: self.epoch,
             granted_until: self.granted_until,
             polls_begun: self.polls_begun,
-            ..Self::new(self.longest_lease_ms, self.stop_ms)
+            ..Self::new(self.max_lease_ms, self.stop_ms)
         };
     }
 
@@ -277,7 +277,7 @@
         self.polls_begun
     }
 
-    /// Records that a run can no longer arrive; a poll begun from now on shows whether it is present.
+    /// Records that the worker will not start a run from now on; a poll begun from now on shows whether it is present.
     pub fn expect_absence(&mut self, incarnation: &str, task: &Task, run: u64, why: &str) {
         if self.incarnation() == Some(incarnation) {
             self.absence_checks.insert((task.clone(), run), (why.to_owned(), self.polls_begun));
@@ -322,7 +322,7 @@
 
     /// Marks all runs as not started once every lease has certainly expired; returns whether there were any.
     pub fn expire_leases(&mut self, now: u64) -> bool {
-        let clock_lag_ms = self.longest_lease_ms * CLOCK_LAG_PERCENT / 100;
+        let clock_lag_ms = self.max_lease_ms * CLOCK_LAG_PERCENT / 100;
         let expired_at = self.leased_until + clock_lag_ms + self.stop_ms + LAPSE_MARGIN_MS;
         let has_runs =
             !self.running.is_empty() || !self.start_attempts.is_empty() || !self.started.is_empty();
--- a/crates/control/tests/histories.rs
+++ b/crates/control/tests/histories.rs
@@ -13,10 +13,10 @@
 use sorrelland_platform::worker::{Announcement, Listing};
 
 const INCARNATION: &str = "w-1";
-const LONGEST_LEASE_MS: u64 = 6_000;
+const MAX_LEASE_MS: u64 = 6_000;
 const STOP_MS: u64 = 400;
 
-/// Grant of the planner: below the longest lease, as in the entry.
+/// Grant of the planner: below the maximum lease, as in the entry.
 const GRANT_MS: u64 = 4_800;
 
 const TASKS: u32 = 3;
@@ -130,7 +130,7 @@
         if lease_end < clock(now) {
             return false;
         }
-        self.lease_until = self.lease_until.max(lease_end.min(clock(now) + LONGEST_LEASE_MS));
+        self.lease_until = self.lease_until.max(lease_end.min(clock(now) + MAX_LEASE_MS));
         let outdated = self.highest_ended.get(&key.0).is_some_and(|highest| key.1 <= *highest);
         if !outdated {
             self.running.entry(key.clone()).or_insert(None);
@@ -177,6 +177,7 @@
     assigned: BTreeMap<Task, (u64, bool)>,
     acknowledged: u64,
     number: u64,
+    /// Runs that must not be on the worker any more.
     absent: BTreeSet<RunKey>,
 }
 
@@ -184,7 +185,7 @@
     fn new() -> Self {
         let mut history = Self {
             now: 0,
-            agent: WorkerState::new(LONGEST_LEASE_MS, STOP_MS),
+            agent: WorkerState::new(MAX_LEASE_MS, STOP_MS),
             agent_incarnation: 1,
             seq: 0,
             worker: Worker::default(),
@@ -343,7 +344,7 @@
     fn poll(&mut self, arrives_in: Option<u64>) {
         let (number, acknowledged) = (self.agent.begin_poll(), self.agent.acknowledged());
         if let Some(lease_end) = self.agent.extend_lease(self.now) {
-            let max_end = clock(self.now) + LONGEST_LEASE_MS;
+            let max_end = clock(self.now) + MAX_LEASE_MS;
             self.worker.lease_until = self.worker.lease_until.max(lease_end.min(max_end));
         }
         self.worker.ended.retain(|end| end.number > acknowledged);
@@ -374,7 +375,7 @@
             Op::Poll { answered } => self.poll(answered.then_some(0)),
             Op::SlowPoll(ms) => self.poll(Some(*ms)),
             Op::RestartAgent => {
-                self.agent = WorkerState::new(LONGEST_LEASE_MS, STOP_MS);
+                self.agent = WorkerState::new(MAX_LEASE_MS, STOP_MS);
                 self.agent_incarnation += 1;
                 self.announce();
             }
--- a/crates/control/tests/lease.rs
+++ b/crates/control/tests/lease.rs
@@ -7,7 +7,7 @@
 use sorrelland_platform::worker::{Announcement, Listing};
 
 const INCARNATION: &str = "w-1";
-const GRANT_MS: u64 = 6_000;
+const MAX_LEASE_MS: u64 = 6_000;
 const STOP_MS: u64 = 400;
 
 fn announcement(sequence: u64) -> Announcement {
@@ -41,20 +41,20 @@
 
 #[test]
 fn expire_leases_waits_for_leases_of_an_earlier_agent_incarnation() {
-    let mut state = WorkerState::new(GRANT_MS, STOP_MS);
+    let mut state = WorkerState::new(MAX_LEASE_MS, STOP_MS);
     state.apply_announcement(10_000, announcement(7));
     let poll = state.begin_poll();
     state.apply_listing(10_010, poll, INCARNATION, listing(500));
     // The earlier incarnation may have extended the lease just before it ended.
-    assert!(!state.expire_leases(10_000 + GRANT_MS));
+    assert!(!state.expire_leases(10_000 + MAX_LEASE_MS));
     assert_eq!(state.build_report("agent", 1, 1).not_started, Vec::new());
-    assert!(state.expire_leases(10_000 + 2 * GRANT_MS));
+    assert!(state.expire_leases(10_000 + 2 * MAX_LEASE_MS));
     assert_eq!(state.build_report("agent", 1, 2).not_started.len(), 1);
 }
 
 #[test]
 fn due_stops_leaves_out_a_stop_in_progress() {
-    let mut state = WorkerState::new(GRANT_MS, STOP_MS);
+    let mut state = WorkerState::new(MAX_LEASE_MS, STOP_MS);
     state.apply_announcement(0, announcement(1));
     let poll = state.begin_poll();
     state.apply_listing(10, poll, INCARNATION, listing(500));
--- a/crates/control/tests/seat.rs
+++ b/crates/control/tests/seat.rs
@@ -37,8 +37,8 @@
     Arc::new(Desired { version: 1, queues: vec![queue], keys: BTreeMap::new(), ..Desired::default() })
 }
 
-fn leader(epoch: u64, life: u64) -> Leader {
-    Leader { epoch, instance: format!("entry-{life}"), address: "127.0.0.1:1".to_owned(), incarnation: life }
+fn leader(epoch: u64, incarnation: u64) -> Leader {
+    Leader { epoch, instance: format!("entry-{incarnation}"), address: "127.0.0.1:1".to_owned(), incarnation }
 }
 
 fn submission(job: &str) -> Submission {
@@ -60,11 +60,11 @@
 }
 
 #[tokio::test]
-async fn ask_returns_unresolved_if_the_job_may_be_stored() {
+async fn submit_returns_unresolved_if_the_job_may_be_stored() {
     let (address, store) = start_store().await;
     let planner = ActivePlanner::start(&store, None, leader(1, 1), TIMING, desired()).await.unwrap();
     set_faults(&address, r#"{"lose_every": 1}"#).await;
-    let answer = {
+    let reply = {
         let planner = planner.clone();
         tokio::spawn(async move {
             planner
@@ -80,7 +80,7 @@
     set_faults(&address, "{}").await;
     let next = Writer { producer: "planner".to_owned(), epoch: 2, sequence: 0 };
     store.append_as("keyed.jobs", &next, &[], CALL_TIMEOUT).await.unwrap();
-    assert_eq!(answer.await.unwrap(), PlannerReply::Unresolved);
+    assert_eq!(reply.await.unwrap(), PlannerReply::Unresolved);
     assert!(planner.has_stepped_down());
     let successor = ActivePlanner::start(&store, None, leader(3, 2), TIMING, desired()).await.unwrap();
     let reply = successor
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn take_fences_the_previous_writer() {
+async fn start_fences_the_previous_writer() {
     let (_, store) = start_store().await;
     let old = ActivePlanner::start(&store, None, leader(1, 1), TIMING, desired()).await.unwrap();
     let _new = ActivePlanner::start(&store, None, leader(2, 2), TIMING, desired()).await.unwrap();
@@ -113,33 +113,33 @@
 }
 
 #[test]
-fn is_over_counts_only_observed_silence() {
-    let mut silence = LeaderTimeout::default();
-    silence.record_renewal(1_000);
-    silence.record_read_failure();
-    assert!(!silence.has_expired(60_000, false, 0), "a store outage must not supersede the leader");
-    silence.record_no_renewal(60_000);
-    assert!(!silence.has_expired(60_000 + election::LEADER_TIMEOUT_MS - 1, false, 0));
-    assert!(silence.has_expired(60_000 + election::LEADER_TIMEOUT_MS, false, 0));
-    silence.record_renewal(70_000);
-    assert!(!silence.has_expired(70_000, false, 0));
-    silence.record_step_down();
-    assert!(silence.has_expired(70_000, false, 300));
+fn has_expired_counts_only_successful_reads() {
+    let mut leader_timeout = LeaderTimeout::default();
+    leader_timeout.record_renewal(1_000);
+    leader_timeout.record_read_failure();
+    assert!(!leader_timeout.has_expired(60_000, false, 0), "a store outage must not supersede the leader");
+    leader_timeout.record_no_renewal(60_000);
+    assert!(!leader_timeout.has_expired(60_000 + election::LEADER_TIMEOUT_MS - 1, false, 0));
+    assert!(leader_timeout.has_expired(60_000 + election::LEADER_TIMEOUT_MS, false, 0));
+    leader_timeout.record_renewal(70_000);
+    assert!(!leader_timeout.has_expired(70_000, false, 0));
+    leader_timeout.record_step_down();
+    assert!(leader_timeout.has_expired(70_000, false, 300));
 }
 
 #[test]
-fn is_over_needs_less_silence_of_a_refusing_leader() {
-    let mut silence = LeaderTimeout::default();
-    silence.record_renewal(1_000);
-    assert!(!silence.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS - 1, true, 0));
-    assert!(silence.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS, true, 0));
-    assert!(!silence.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS, false, 0));
-    silence.record_read_failure();
-    assert!(!silence.has_expired(60_000, true, 0), "a store outage must not supersede the leader");
+fn has_expired_earlier_for_a_refusing_leader() {
+    let mut leader_timeout = LeaderTimeout::default();
+    leader_timeout.record_renewal(1_000);
+    assert!(!leader_timeout.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS - 1, true, 0));
+    assert!(leader_timeout.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS, true, 0));
+    assert!(!leader_timeout.has_expired(1_000 + election::REFUSING_LEADER_TIMEOUT_MS, false, 0));
+    leader_timeout.record_read_failure();
+    assert!(!leader_timeout.has_expired(60_000, true, 0), "a store outage must not supersede the leader");
 }
 
 #[tokio::test]
-async fn wait_for_silence_ends_at_once_for_the_next_incarnation() {
+async fn wait_until_claimable_ends_at_once_for_the_next_incarnation() {
     let (_, store) = start_store().await;
     let leadership = Leadership::default();
     let current = election::claim(&store, &leadership, &leader(0, 1), 0).await.unwrap();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn refuses_until_the_leader_answers() {
+fn is_refusing_until_the_leader_answers() {
     let leadership = Leadership::default();
     leadership.record_refused(1);
     assert!(!leadership.is_refusing(), "there is no leader yet");
