--- a/crates/control/src/active_planner.rs
+++ b/crates/control/src/active_planner.rs
@@ -34,9 +34,9 @@
 /// Maximum wait for an approval request before the leadership is checked again.
 const APPROVAL_REQUEST_WAIT: Duration = Duration::from_secs(2);
 
-/// The planner of the leader, with its tasks.
+/// The planner that a leader runs, with its background tasks.
 pub struct ActivePlanner {
-    /// The leader that this process is, with its epoch.
+    /// This process as the leader, with the epoch of its claim.
     pub leader: Leader,
     planner: Mutex<Planner>,
     /// Triggers a planning pass.
@@ -51,7 +51,7 @@
     agents: Mutex<BTreeMap<String, AgentSlot>>,
 }
 
-/// The newest report and assignments of an agent, and how to wake its waiting call.
+/// Newest report number and last assignments of an agent, and how to wake its waiting call.
 #[derive(Default)]
 struct AgentSlot {
     wake: Arc<Notify>,
@@ -103,7 +103,7 @@
         let _ = stepped_down.wait_for(|stepped_down| *stepped_down).await;
     }
 
-    /// Ends the leadership of this process; from now on every call is answered by a redirection.
+    /// Ends the leadership of this process; from now on every call is answered with a redirect.
     pub fn step_down(&self, why: &str) {
         if !self.stepped_down.send_replace(true) {
             log::info!("event=office_ended epoch={} why=\"{why}\"", self.leader.epoch);
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -13,7 +13,7 @@
 use tarpc::serde_transport;
 use tarpc::tokio_serde::formats::Bincode;
 
-/// An entry that leads, or led, by its claim in the store; epoch 0 for a process that has not claimed.
+/// An entry that leads or has led according to its claim in the store; its epoch is 0 if it has claimed nothing yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leader {
     /// Fencing token: rises with every claim and is never used twice.
--- a/crates/control/src/reload.rs
+++ b/crates/control/src/reload.rs
@@ -12,7 +12,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Logs every change of the settings file. Addresses and bounds are read at the start of a process, so a change of
-/// them is logged as one that takes a restart; nothing else in the file is used.
+/// them is logged as one that requires a restart; nothing else in the file is used.
 pub async fn watch_settings(
     path: PathBuf,
     settings: Settings,
--- a/crates/standin/src/platform_store.rs
+++ b/crates/standin/src/platform_store.rs
@@ -1,6 +1,6 @@
 //! Stand-in for the store of the users' platform: partitions with offsets, keyed topics, conditional appends,
 //! producers with epochs, long polls, and faults that a test injects. Consumer groups are not implemented,
-//! since the project does not use them.
+//! since the scheduler does not use them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
     /// Each call is answered with 503.
     #[serde(default)]
     pub down: bool,
-    /// Calls that arrive or wait meanwhile are never answered, not even after the fault ends.
+    /// Calls that arrive or wait while this is set are never answered, not even after it is cleared.
     #[serde(default)]
     #[serde(rename = "silent")]
     pub unresponsive: bool,
@@ -109,7 +109,7 @@
 struct AppendQuery {
     topic: String,
     part: u64,
-    /// Expected end offset; any other refuses the append.
+    /// Required end offset; the append is refused if the partition ends at another one.
     at: Option<u64>,
     producer: Option<String>,
     epoch: Option<u64>,
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -45,7 +45,8 @@
     _name: String,
 }
 
-/// Responds to GET, POST, PUT and DELETE, unless `allowed` has them, with a typed error; `path` may have `{name}`.
+/// Responds to GET, POST, PUT and DELETE, except the methods in `allowed`, with a typed error; `path` may contain
+/// `{name}`.
 ///
 /// # Panics
 ///
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Connects to `address` and authenticates both ends by the shared `key`.
+/// Connects to `address` and authenticates both ends with the shared `key`.
 ///
 /// # Errors
 ///
--- a/crates/wire/src/entry.rs
+++ b/crates/wire/src/entry.rs
@@ -95,7 +95,7 @@
 pub trait EntryRpc {
     /// Records an agent's heartbeat.
     async fn heartbeat(heartbeat: Heartbeat) -> HeartbeatReply;
-    /// Records another entry's state and returns the own state.
+    /// Records the calling entry's state and returns that of the called one.
     async fn ping(ping: Ping) -> Ping;
     /// Returns the state folded from the log, as JSON; `None` while the entry has none.
     async fn fold() -> Option<Vec<u8>>;
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,4 +1,4 @@
-//! Mutual authentication by the shared process key at the start of each connection.
+//! Mutual authentication with the shared process key at the start of each connection.
 
 use std::io;
 use std::time::Duration;
