--- a/crates/control/src/active_planner.rs
+++ b/crates/control/src/active_planner.rs
@@ -132,9 +132,9 @@
             let mut planner = lock(&self.planner);
             planner.tick(now_ms(), wall_ms());
             let (reporting, known) = planner.reporting_workers(now_ms());
-            metrics::set_level("workers_heard", reporting as u64);
-            metrics::set_level("workers_known", known as u64);
-            metrics::set_level("jobs_live", planner.live_jobs() as u64);
+            metrics::set_gauge("workers_heard", reporting as u64);
+            metrics::set_gauge("workers_known", known as u64);
+            metrics::set_gauge("jobs_live", planner.live_jobs() as u64);
             if planner.has_approval_requests() {
                 self.approval_requests.notify_one();
             }
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -258,7 +258,7 @@
         });
         if applied {
             *lock(&self.raw_desired) = value.to_vec();
-            metrics::set_level("desired_version", desired.version);
+            metrics::set_gauge("desired_version", desired.version);
             log::info!(
                 "event=desired_in_force version={} queues={} accounts={} from=\"{from}\"",
                 desired.version,
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -23,7 +23,7 @@
     events: Counter<u64>,
     request_seconds: Histogram<f64>,
     append_seconds: Histogram<f64>,
-    levels: Gauge<u64>,
+    gauges: Gauge<u64>,
 }
 
 static METRICS: OnceLock<Metrics> = OnceLock::new();
@@ -51,7 +51,7 @@
         events: meter.u64_counter("sorrelland_events").build(),
         request_seconds: latency("sorrelland_request_seconds"),
         append_seconds: latency("sorrelland_append_seconds"),
-        levels: meter.u64_gauge("sorrelland_level").build(),
+        gauges: meter.u64_gauge("sorrelland_level").build(),
         registry,
         _provider: provider,
     };
@@ -103,8 +103,8 @@
 }
 
 /// Sets a gauge, such as the number of live jobs or the version of the desired state.
-pub fn set_level(name: &'static str, value: u64) {
+pub fn set_gauge(name: &'static str, value: u64) {
     if let Some(metrics) = METRICS.get() {
-        metrics.levels.record(value, &[KeyValue::new("of", name)]);
+        metrics.gauges.record(value, &[KeyValue::new("of", name)]);
     }
 }
--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -79,12 +79,12 @@
     let mut kind = None;
     let mut listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut sizes = default_sizes();
-    let (mut announce, mut rack) = (String::new(), "r1".to_owned());
+    let (mut agent_address, mut rack) = (String::new(), "r1".to_owned());
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Long("help") | Arg::Short('h') => return Ok(Command::Help),
             Arg::Long("listen") => listen = parser.value()?.parse()?,
-            Arg::Long("announce") => announce = parser.value()?.string()?,
+            Arg::Long("announce") => agent_address = parser.value()?.string()?,
             Arg::Long("rack") => rack = parser.value()?.string()?,
             Arg::Long("name") => sizes.name = parser.value()?.string()?,
             Arg::Long("slots") => sizes.slots = parser.value()?.parse()?,
@@ -98,13 +98,13 @@
         Some("log") => Ok(Command::Log { listen }),
         Some("worker") => Ok(Command::Worker { listen, sizes }),
         Some("platform-store") => Ok(Command::PlatformStore { listen }),
-        Some("platform-worker") if !announce.is_empty() => {
+        Some("platform-worker") if !agent_address.is_empty() => {
             let capacity = (
                 i64::from(sizes.processors) * 1_000,
                 i64::from(sizes.memory_gb) * 1_024,
                 i64::from(sizes.accelerators),
             );
-            let setup = Setup { incarnation: sizes.name, announce, rack, capacity };
+            let setup = Setup { incarnation: sizes.name, agent_address, rack, capacity };
             Ok(Command::PlatformWorker { listen, setup })
         }
         Some("platform-worker") => Err(lexopt::Error::Custom("--announce is required".into()).into()),
--- a/crates/standin/src/platform_worker.rs
+++ b/crates/standin/src/platform_worker.rs
@@ -36,7 +36,7 @@
     /// Name of this incarnation of the worker.
     pub incarnation: String,
     /// Address of the agent that the worker announces itself to.
-    pub announce: String,
+    pub agent_address: String,
     pub rack: String,
     /// CPU in thousandths of a core, memory in megabytes, number of accelerators.
     pub capacity: (i64, i64, i64),
@@ -151,8 +151,8 @@
 
 async fn announce_loop(worker: Arc<Worker>, address: String) {
     let client = Client::new(Duration::from_secs(1));
-    let Setup { incarnation, announce, rack, capacity } = &worker.setup;
-    let url = format!("http://{announce}/instances/{incarnation}");
+    let Setup { incarnation, agent_address, rack, capacity } = &worker.setup;
+    let url = format!("http://{agent_address}/instances/{incarnation}");
     for sequence in 1.. {
         let body = json!({
             "service": "svc", "address": address, "zone": "haiphong-a", "version": "v1", "slots": 8,
