--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -15,7 +15,7 @@
 const CLOCK_LAG_PERCENT: u64 = 2;
 
 /// Time after which an answered stop is repeated if the run is still listed: longer than the longest `stop_ms` of
-/// any deployment.
+/// the users' deployments.
 const STOP_RETRY_DELAY_MS: u64 = 1_500;
 
 /// Margin on top of all bounds before a lease counts as expired.
