--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -9,7 +9,7 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
-use sorrelland_platform::serve::{self, Answer, Handler};
+use sorrelland_platform::serve::{self, Handler, Response};
 
 /// Result of serving metrics.
 pub type Result<T> = serve::Result<T>;
@@ -23,12 +23,12 @@
     events: Counter<u64>,
     request_seconds: Histogram<f64>,
     append_seconds: Histogram<f64>,
-    levels: Gauge<u64>,
+    gauges: Gauge<u64>,
 }
 
 static METRICS: OnceLock<Metrics> = OnceLock::new();
 
-/// Sets up the instruments of this process and starts `handler` at `address`, which serves them.
+/// Sets up the instruments of this process, and starts a server at `address` whose `handler` serves them.
 ///
 /// # Errors
 ///
@@ -51,7 +51,7 @@
         events: meter.u64_counter("sorrelland_events").build(),
         request_seconds: latency("sorrelland_request_seconds"),
         append_seconds: latency("sorrelland_append_seconds"),
-        levels: meter.u64_gauge("sorrelland_level").build(),
+        gauges: meter.u64_gauge("sorrelland_level").build(),
         registry,
         _provider: provider,
     };
@@ -67,13 +67,13 @@
 }
 
 /// Answers with the metrics of this process in the Prometheus text format.
-pub(crate) fn render() -> Answer {
-    let Some(metrics) = METRICS.get() else { return Answer::new(StatusCode::SERVICE_UNAVAILABLE) };
+pub(crate) fn render() -> Response {
+    let Some(metrics) = METRICS.get() else { return Response::new(StatusCode::SERVICE_UNAVAILABLE) };
     match TextEncoder::new().encode_to_string(&metrics.registry.gather()) {
-        Ok(text) => Answer { body: text, ..Answer::new(StatusCode::OK) },
+        Ok(text) => Response { body: text, ..Response::new(StatusCode::OK) },
         Err(e) => {
             log::warn!("event=no_metrics cause=\"{e}\"");
-            Answer::new(StatusCode::INTERNAL_SERVER_ERROR)
+            Response::new(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
@@ -103,8 +103,8 @@
 }
 
 /// Sets a gauge, such as the number of live jobs or the version of the desired state.
-pub fn set_level(name: &'static str, value: u64) {
+pub fn set_gauge(name: &'static str, value: u64) {
     if let Some(metrics) = METRICS.get() {
-        metrics.levels.record(value, &[KeyValue::new("of", name)]);
+        metrics.gauges.record(value, &[KeyValue::new("of", name)]);
     }
 }
