--- a/crates/daemon/src/agent/authority.rs
+++ b/crates/daemon/src/agent/authority.rs
@@ -113,7 +113,7 @@
         self.stopping || self.config.as_ref().is_some_and(|config| config.drained)
     }
 
-    /// Applies a configuration unless the current one is as new; returns the offset in force.
+    /// Applies a configuration unless the current one is as new or newer; returns the offset in force.
     pub fn configure(&mut self, config: AgentConfig) -> u64 {
         let current = self.config.as_ref().map(|c| c.offset);
         if current.is_none_or(|offset| offset < config.offset) {
@@ -279,7 +279,7 @@
             ever_committed: self.commit_point.ever_committed(job),
             failed: record.and_then(|r| r.failed.clone()),
             hold: self.member.holds().get(job).map(|hold| (hold.epoch, hold.phase)),
-            min_unfenced_epoch: self.member.min_allowed_epoch(job),
+            min_unfenced_epoch: self.member.min_unfenced_epoch(job),
             done_ms: record.map_or(0, |r| r.done_ms),
         }
     }
--- a/crates/lease/src/key.rs
+++ b/crates/lease/src/key.rs
@@ -10,10 +10,10 @@
 use serde::{Deserialize, Serialize};
 use sorrelland_core::id::WorkerId;
 
-/// Windows whose keys a home retains, the current one included.
+/// Maximum number of windows whose keys a home retains, the current one included.
 pub const MAX_WINDOWS: u32 = 3;
 
-/// Keys that a home retains at a time.
+/// Maximum number of keys that a home retains.
 pub const MAX_KEYS: usize = 50_000;
 
 /// Period within an incarnation of a home in which it issues keys; keys expire a window at a time.
@@ -134,8 +134,8 @@
 
     /// Seals the current window, and all before it, once the table is full.
     ///
-    /// Without the seal, a late duplicate of a refused request could run after the table has room again, though its
-    /// caller was told that the work does not run.
+    /// Without the seal, a late duplicate of a refused request could run once the table has free capacity again,
+    /// although its caller received the reply that the work did not run.
     fn refuses_new_key(&mut self, number: u32) -> bool {
         if self.records.len() >= self.capacity {
             self.sealed_window = Some(self.window.number);
--- a/crates/lease/src/member.rs
+++ b/crates/lease/src/member.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns the smallest epoch of `job` that is not fenced.
-    pub fn min_allowed_epoch(&self, job: &JobId) -> Epoch {
+    pub fn min_unfenced_epoch(&self, job: &JobId) -> Epoch {
         self.fences.get(job).copied().unwrap_or_default()
     }
 
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// Refuses a fenced epoch, and any other epoch than that of an existing hold of the job.
+    /// Refuses a fenced epoch, and an epoch other than that of an existing hold of the job.
     pub fn reserve(
         &mut self,
         job: &JobId,
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// Refuses when there is no hold, its lease has expired, or its epoch is fenced or another one.
+    /// Refuses when there is no hold, its lease has expired, `epoch` is fenced, or the hold is of another epoch.
     pub fn check_renewal(&self, job: &JobId, epoch: Epoch, now_ms: Millis) -> Result<&Hold> {
         self.check_fence(job, epoch)?;
         let hold = self.holds.get(job).ok_or(Refusal::NotHeld)?;
@@ -196,7 +196,7 @@
     }
 
     fn check_fence(&self, job: &JobId, epoch: Epoch) -> Result<()> {
-        let least = self.min_allowed_epoch(job);
+        let least = self.min_unfenced_epoch(job);
         if epoch < least { Err(Refusal::Fenced { least }) } else { Ok(()) }
     }
 }
