--- a/crates/lang/src/parse.rs
+++ b/crates/lang/src/parse.rs
@@ -33,7 +33,7 @@
 /// Fails if `text` is not a valid statement or is too long.
 pub fn parse(text: &str) -> Result<Statement, SyntaxError> {
     if text.len() > MAX_STATEMENT_BYTES {
-        let expected = format!("at most {MAX_STATEMENT_BYTES} characters");
+        let expected = format!("at most {MAX_STATEMENT_BYTES} bytes");
         return Err(SyntaxError { column: MAX_STATEMENT_BYTES, expected, found: format!("{}", text.len()) });
     }
     delimited(multispace0, statement, (multispace0, opt(';'), multispace0, end)).parse(text).map_err(|e| {
--- a/crates/lang/src/statement.rs
+++ b/crates/lang/src/statement.rs
@@ -29,7 +29,7 @@
     /// Commands and their outcomes.
     #[display("history")]
     History,
-    /// Service-level burn of each account.
+    /// Burn rates of each account's service-level objectives.
     #[display("burn")]
     Burn,
 }
@@ -65,7 +65,7 @@
 /// Filter, order and limit of the rows to show.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Selection {
-    /// Conditions that a row must all meet.
+    /// Conditions, all of which a row must meet.
     pub conditions: Vec<Condition>,
     /// Field to order by, and whether the order is descending.
     pub order: Option<(String, bool)>,
@@ -91,7 +91,7 @@
 pub struct Options {
     /// Unique ID of the command.
     pub id: Option<String>,
-    /// Configuration version that the command is based on.
+    /// Version of the subject that the command is based on.
     pub base: Option<u64>,
     /// Whether the command is only checked and its effect reported.
     pub dry_run: bool,
@@ -116,7 +116,7 @@
     CancelJob(String),
     /// Cancels all matching jobs, if their number is the confirmed one.
     CancelJobs {
-        /// Conditions that a job must all meet.
+        /// Conditions, all of which a job must meet.
         conditions: Vec<Condition>,
         /// Number of matching jobs that the operator expects.
         confirm: Option<usize>,
--- a/crates/ledger/src/fold.rs
+++ b/crates/ledger/src/fold.rs
@@ -13,10 +13,10 @@
 use crate::job::{Job, JobOutcome, RecordedAttempt, Stage};
 use crate::record::{Command, CommandRecord, Record, Subject};
 
-/// Commands that the fold retains with their outcomes.
+/// Maximum number of commands that the fold retains with their outcomes.
 pub const MAX_HISTORY_ROWS: usize = 2_048;
 
-/// Ended jobs that the fold retains.
+/// Maximum number of ended jobs that the fold retains.
 pub const MAX_ENDED_JOBS: usize = 4_096;
 
 /// A record was applied out of order: records before it are missing.
@@ -137,7 +137,7 @@
         newer
     }
 
-    /// Returns the version of what agents need: the configuration and the plan.
+    /// Returns the version of what agents apply: the newer of the configuration's and the plan's.
     pub fn agent_version(&self) -> u64 {
         self.version.max(self.plan_version)
     }
