--- a/crates/spec/src/fold.rs
+++ b/crates/spec/src/fold.rs
@@ -112,7 +112,7 @@
         let mut winners: Vec<LoggedCommand> = Vec::new();
         for (_, sent) in (0..).zip(&state.log).filter(|(offset, _)| is_accepted(&full, *offset)) {
             if winners.iter().any(|other| other.base == sent.base && other.operator == sent.operator) {
-                return Some("a command that is sent again stands once");
+                return Some("a command that is sent again is accepted once");
             }
             if winners.iter().any(|other| other.base == sent.base) {
                 return Some("of commands against one version at most one is accepted");
--- a/crates/spec/src/gang.rs
+++ b/crates/spec/src/gang.rs
@@ -213,21 +213,21 @@
         reply: RenewalReply,
     ) {
         let (now, token) = (state.now, Epoch(epoch));
-        let holds = &mut state.members[member];
+        let target = &mut state.members[member];
         match reply {
             RenewalReply::Stop => self.fence(state, member, epoch),
             RenewalReply::Wait => {
                 // The lease of an expired hold is not extended.
-                let _ = holds.extend_lease(&job(), token, sent, LEASE_STEPS, now);
+                let _ = target.extend_lease(&job(), token, sent, LEASE_STEPS, now);
             }
             RenewalReply::Go if finished => {
-                holds.fence(&job(), token);
+                target.fence(&job(), token);
                 state.fenced_epochs[member] = state.fenced_epochs[member].max(epoch);
             }
             RenewalReply::Go => {
-                let renewed = holds.extend_lease(&job(), token, sent, LEASE_STEPS, now);
-                let must_start = renewed.and_then(|()| holds.pass_barrier(&job(), token, now));
-                let lease_end = holds.holds().get(&job()).map_or(now, |hold| hold.lease_end_ms);
+                let renewed = target.extend_lease(&job(), token, sent, LEASE_STEPS, now);
+                let must_start = renewed.and_then(|()| target.pass_barrier(&job(), token, now));
+                let lease_end = target.holds().get(&job()).map_or(now, |hold| hold.lease_end_ms);
                 match must_start {
                     Ok(true) => state.tasks[member] = Some(Task { epoch, lease_end }),
                     Ok(false) => {
--- a/crates/spec/tests/protocol.rs
+++ b/crates/spec/tests/protocol.rs
@@ -5,14 +5,14 @@
 use sorrelland_spec::gang::{GangModel, Variant as GangVariant};
 use sorrelland_spec::key::{KeyModel, Variant as KeyVariant};
 
-fn holds(name: &str, model: &impl Model) {
+fn assert_holds(name: &str, model: &impl Model) {
     match check(model) {
         Outcome::Holds { states } => println!("{name}: {states} states, no property violated"),
         Outcome::Violated { property, trace } => panic!("{name}: {property}\n  {}", trace.join("\n  ")),
     }
 }
 
-fn caught(name: &str, model: &impl Model) -> &'static str {
+fn find_violation(name: &str, model: &impl Model) -> &'static str {
     match check(model) {
         Outcome::Holds { states } => panic!("{name}: no property violated in {states} states"),
         Outcome::Violated { property, trace } => {
@@ -24,17 +24,17 @@
 
 #[test]
 fn check_correct_gang() {
-    holds("gang", &GangModel { variant: GangVariant::Correct });
+    assert_holds("gang", &GangModel { variant: GangVariant::Correct });
 }
 
 #[test]
 fn check_correct_keys() {
-    holds("keys", &KeyModel { variant: KeyVariant::Correct });
+    assert_holds("keys", &KeyModel { variant: KeyVariant::Correct });
 }
 
 #[test]
 fn check_correct_fold() {
-    holds("fold", &FoldModel { variant: FoldVariant::Correct });
+    assert_holds("fold", &FoldModel { variant: FoldVariant::Correct });
 }
 
 #[yare::parameterized(
@@ -45,7 +45,7 @@
     no_lease_wait = { GangVariant::NoLeaseWait, "two attempts never run at the same time" },
 )]
 fn check_broken_gang(variant: GangVariant, property: &str) {
-    assert_eq!(caught("gang", &GangModel { variant }), property);
+    assert_eq!(find_violation("gang", &GangModel { variant }), property);
 }
 
 #[yare::parameterized(
@@ -54,7 +54,7 @@
     no_seal = { KeyVariant::NoSeal, "not run implies never begun" },
 )]
 fn check_broken_keys(variant: KeyVariant, property: &str) {
-    assert_eq!(caught("keys", &KeyModel { variant }), property);
+    assert_eq!(find_violation("keys", &KeyModel { variant }), property);
 }
 
 #[yare::parameterized(
@@ -62,5 +62,5 @@
     no_snapshot = { FoldVariant::NoSnapshot, "folds at the same offset agree" },
 )]
 fn check_broken_fold(variant: FoldVariant, property: &str) {
-    assert_eq!(caught("fold", &FoldModel { variant }), property);
+    assert_eq!(find_violation("fold", &FoldModel { variant }), property);
 }
