--- a/crates/daemon/src/agent/gang.rs
+++ b/crates/daemon/src/agent/gang.rs
@@ -132,7 +132,7 @@
                 match must_start {
                     Ok(true) => self.start_tasks(job, epoch).await,
                     Ok(false) => self.renew_task_leases(job, epoch, sent_ms + lease_ms).await,
-                    Err(refusal) => log::warn!(job = job.as_str(); "tasks may not run: {refusal}"),
+                    Err(refusal) => log::warn!(job = job.as_str(); "tasks must not run: {refusal}"),
                 }
             }
         }
--- a/crates/daemon/src/entry/answer.rs
+++ b/crates/daemon/src/entry/answer.rs
@@ -163,7 +163,7 @@
     2_300
 }
 
-/// State of a job as answered to callers.
+/// State of a job as reported to callers.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 pub struct JobAnswer {
     /// Name of the job.
--- a/crates/daemon/src/entry/api.rs
+++ b/crates/daemon/src/entry/api.rs
@@ -22,13 +22,11 @@
 use crate::entry::{Entry, operator, unix_ms, write};
 use crate::sync::lock;
 
-/// Result of a request.
 pub type Result<T, E = ApiError> = std::result::Result<T, E>;
 
-/// Context of the endpoints.
 pub type Cx = RequestContext<Arc<Entry>>;
 
-/// Longest name, in characters.
+/// Maximum length of a name, in characters.
 const MAX_NAME_LENGTH: usize = 128;
 
 /// Time after which a caller should retry, for instance while the entry has no configuration or stops.
@@ -288,7 +286,7 @@
         })
     }
 
-    /// Accepts a job: records it and its claim in one append.
+    /// Records a job and its claim in one append; the job is accepted only after that.
     async fn accept(&self, name: &str, id: JobId, spec: JobSpec) -> Result<Response<Body>> {
         let records = vec![
             Record::Accepted { job: id.clone(), spec: spec.clone(), accepted_ms: unix_ms() },
@@ -296,7 +294,7 @@
         ];
         self.write(records).await.map_err(write_error)?;
         self.metrics.count_job_event("accepted");
-        self.wake.notify_one();
+        self.schedule_wake.notify_one();
         let known = self.with_fold(|fold| fold.jobs.get(&id).cloned()).flatten();
         match known {
             Some(known) if known.spec == spec => {
@@ -316,7 +314,7 @@
         let (tx, mut rx) = oneshot::channel();
         let attached = Attached { spec, since_ms: unix_ms(), started: false, outcome_tx: Some(tx) };
         lock(&self.attached).insert(id.clone(), attached);
-        self.wake.notify_one();
+        self.schedule_wake.notify_one();
         let start_by = Instant::now() + Duration::from_millis(body.start_within_ms);
         let outcome = loop {
             let tick = Duration::from_millis(50);
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -28,16 +28,16 @@
 /// Delay between reserve calls while other jobs are being preempted on the worker.
 const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Margin added to the time within which the agent says that the preempted jobs will have yielded.
+/// Margin added to the time within which, by the agent's reply, the preempted jobs yield.
 const YIELD_MARGIN: Duration = Duration::from_millis(2_000);
 
 /// Delay before an outcome is written again after a failed write.
 const RECORD_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Claim lease of a job on the log: its gang stops after this time without contact to the claimant.
+/// Claim lease of a job on the log: its gang stops after this time without a call from the claimant.
 const LOGGED_CLAIM_LEASE_MS: Millis = 60_000;
 
-/// Claim lease of an attached job: its gang stops after this time without contact to the entry.
+/// Claim lease of an attached job: its gang stops after this time without a call from the entry.
 const ATTACHED_CLAIM_LEASE_MS: Millis = 5_000;
 
 /// Lease durations after which a gang with a fenced member has stopped on every worker.
--- a/crates/daemon/src/entry/auth.rs
+++ b/crates/daemon/src/entry/auth.rs
@@ -7,7 +7,6 @@
 use sorrelland_web::ApiError;
 use subtle::ConstantTimeEq;
 
-/// Result of an authentication.
 pub type Result<T> = std::result::Result<T, ApiError>;
 
 /// API keys that an entry accepts, by account and by operator.
--- a/crates/daemon/src/entry/burn.rs
+++ b/crates/daemon/src/entry/burn.rs
@@ -65,7 +65,7 @@
     Good,
     /// It was refused and did not run.
     Refused,
-    /// It was done, but later than the objective allows.
+    /// It completed, but later than the objective allows.
     Late,
     /// It may have run.
     Unknown,
@@ -80,7 +80,7 @@
     pub good: u64,
     /// Events refused without running.
     pub refused: u64,
-    /// Events done too late.
+    /// Events that completed too late.
     pub late: u64,
     /// Events that may have run.
     pub unknown: u64,
@@ -89,7 +89,6 @@
 }
 
 impl Counts {
-    /// Returns the number of all events.
     pub fn total(&self) -> u64 {
         self.good + self.refused + self.late + self.unknown + self.failed
     }
@@ -145,7 +144,6 @@
         Self::default()
     }
 
-    /// Counts an event.
     pub fn record(&mut self, account: &AccountId, objective: Objective, event: Event, now_ms: u64) {
         let bucket = now_ms / BUCKET_MS;
         let buckets = self.buckets.entry((account.clone(), objective)).or_default();
--- a/crates/daemon/src/entry/epochs.rs
+++ b/crates/daemon/src/entry/epochs.rs
@@ -10,7 +10,7 @@
     attempts: BTreeMap<JobId, (u64, u16)>,
 }
 
-/// Jobs whose attempts are counted at most.
+/// Maximum number of jobs whose attempts are counted.
 const MAX_COUNTED_JOBS: usize = 10_000;
 
 impl Epochs {
--- a/crates/daemon/src/entry/fleet.rs
+++ b/crates/daemon/src/entry/fleet.rs
@@ -31,11 +31,9 @@
 /// State of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentRow {
-    /// Incarnation of the agent.
     pub incarnation: u64,
     /// Number of the newest report.
     pub report_number: u64,
-    /// Newest report.
     pub report: Report,
     /// Short requests in flight that the agent reported.
     pub reported_in_flight: u32,
@@ -155,7 +153,7 @@
         }
     }
 
-    /// Returns whether a worker is available for new work.
+    /// Returns whether a worker is ready for new work, draining, ejected or lost.
     pub fn standing(&self, worker: &WorkerId, row: &AgentRow) -> Standing {
         let interval = Duration::from_millis(self.heartbeat_interval_ms());
         if row.last_heartbeat.elapsed() > interval * MAX_MISSED_HEARTBEATS + LOST_MARGIN {
--- a/crates/daemon/src/entry/follow.rs
+++ b/crates/daemon/src/entry/follow.rs
@@ -56,7 +56,7 @@
             }
             complete
         };
-        if complete || !page.entries.is_empty() {
+        if complete || !page.records.is_empty() {
             self.publish_offset();
         }
     }
@@ -65,7 +65,7 @@
     async fn restore_from_snapshot(&self, first_page: Page) {
         let mut pages = vec![first_page];
         while let Some(page) = pages.last()
-            && let Some(last) = page.entries.last()
+            && let Some(last) = page.records.last()
             && last.offset + 1 < page.next
         {
             let Ok(page) = self.log.read(last.offset + 1).await else { return };
@@ -73,8 +73,8 @@
         }
         let oldest = pages[0].first;
         let mut ledger = lock(&self.ledger);
-        let newest = pages.iter().flat_map(|page| &page.entries).rev().find_map(|row| {
-            match serde_json::from_value(row.record.clone()) {
+        let newest = pages.iter().flat_map(|page| &page.records).rev().find_map(|raw| {
+            match serde_json::from_value(raw.record.clone()) {
                 Ok(Record::Snapshot { fold }) if fold.next_offset >= oldest => Some(fold),
                 _ => None,
             }
@@ -98,7 +98,7 @@
     fn publish_offset(&self) {
         let next = lock(&self.ledger).fold.next_offset;
         self.advanced.send_replace(next);
-        self.wake.notify_one();
+        self.schedule_wake.notify_one();
     }
 
     /// Writes a snapshot if enough records follow the last one and this entry is the first responsive one.
@@ -146,17 +146,17 @@
 ///
 /// A record that cannot be parsed is skipped; every reader does so, hence all folds stay equal.
 fn fold_page(fold: &mut Fold, page: &Page) {
-    for row in &page.entries {
-        match serde_json::from_value::<Record>(row.record.clone()) {
+    for raw in &page.records {
+        match serde_json::from_value::<Record>(raw.record.clone()) {
             Ok(record) => {
-                if let Err(gap) = fold.apply(row.offset, &record) {
+                if let Err(gap) = fold.apply(raw.offset, &record) {
                     log::warn!("{gap}");
                     return;
                 }
             }
             Err(e) => {
-                log::warn!("skipping record {}, which cannot be parsed: {e}", row.offset);
-                fold.skip_record(row.offset);
+                log::warn!("skipping record {}, which cannot be parsed: {e}", raw.offset);
+                fold.skip_record(raw.offset);
             }
         }
     }
--- a/crates/daemon/src/entry/mod.rs
+++ b/crates/daemon/src/entry/mod.rs
@@ -84,7 +84,7 @@
     entries: Pool<EntryRpcClient>,
     log: LogClient,
     writer: Writer,
-    wake: Notify,
+    schedule_wake: Notify,
     stop: Stop,
     metrics: Metrics,
     listener: Mutex<Option<TcpListener>>,
@@ -122,7 +122,7 @@
             entries: Pool::new(&settings.daemon.process_key),
             writer: Writer::new(),
             log,
-            wake: Notify::new(),
+            schedule_wake: Notify::new(),
             stop,
             metrics: Metrics::new(&settings.daemon.name),
             listener: Mutex::new(Some(listener)),
@@ -174,7 +174,7 @@
         while Instant::now() < deadline && self.open_requests.load(Ordering::Relaxed) > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.notify_leaving().await;
+        self.notify_stopping().await;
         let server = lock(&self.http).take();
         if let Some(server) = server {
             let remaining =
--- a/crates/daemon/src/entry/operator.rs
+++ b/crates/daemon/src/entry/operator.rs
@@ -50,7 +50,7 @@
     Accepted { id: String, version: u64, in_force: InForce },
     /// The subject had changed since version `base`; the command has no effect.
     Void { id: String, base: u64, current: u64 },
-    /// The command may or may not be part of the configuration; `ask` is the request that queries it again.
+    /// It is not known yet whether the command was recorded; `ask` is the request that queries it again.
     NotKnownYet { id: String, ask: String },
 }
 
--- a/crates/daemon/src/entry/peers.rs
+++ b/crates/daemon/src/entry/peers.rs
@@ -22,24 +22,24 @@
 /// Time without a ping after which an entry counts as down.
 const DOWN_AFTER: Duration = Duration::from_millis(3_000);
 
-/// Time without a ping after which an entry that is down is no longer reported: it was replaced.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+/// Time without a ping after which an entry that is down is no longer reported as missing: it was replaced.
+const OMIT_AFTER: Duration = Duration::from_secs(600);
 
 /// Time without a ping after which the jobs of an entry are adopted.
 const ADOPT_AFTER: Duration = Duration::from_secs(5);
 
-/// Jobs adopted in one append at most.
+/// Maximum number of jobs adopted in one append.
 const MAX_ADOPT_BATCH: usize = 500;
 
 #[derive(Clone, Debug)]
 struct PeerRow {
     name: String,
     offset: u64,
-    leaving: bool,
+    stopping: bool,
     last_ping: Instant,
 }
 
-/// Table of the other entries, by address, and of the last ping of each claimant.
+/// The other entries, by address, and the time of each claimant's last ping.
 #[derive(Debug)]
 pub struct Peers {
     rows: BTreeMap<String, Option<PeerRow>>,
@@ -66,7 +66,7 @@
     pub fn record_ping(&mut self, ping: &Ping) {
         let now = Instant::now();
         let row =
-            PeerRow { name: ping.name.clone(), offset: ping.offset, leaving: ping.leaving, last_ping: now };
+            PeerRow { name: ping.name.clone(), offset: ping.offset, stopping: ping.leaving, last_ping: now };
         self.rows.insert(ping.address.clone(), Some(row));
         if ping.leaving {
             // Its jobs may be adopted without waiting for `ADOPT_AFTER`.
@@ -82,13 +82,13 @@
 
     /// Returns the name and the folded offset of the responsive entries.
     pub fn live(&self) -> Vec<(String, u64)> {
-        let live = |row: &&PeerRow| row.last_ping.elapsed() < DOWN_AFTER && !row.leaving;
+        let live = |row: &&PeerRow| row.last_ping.elapsed() < DOWN_AFTER && !row.stopping;
         self.rows.values().flatten().filter(live).map(|row| (row.name.clone(), row.offset)).collect()
     }
 
-    /// Returns the names of entries that have stopped responding without leaving.
+    /// Returns the names of entries that no longer respond although they did not announce their stop.
     pub fn unresponsive(&self) -> Vec<String> {
-        let down = |r: &&PeerRow| (DOWN_AFTER..FORGET_AFTER).contains(&r.last_ping.elapsed()) && !r.leaving;
+        let down = |r: &&PeerRow| (DOWN_AFTER..OMIT_AFTER).contains(&r.last_ping.elapsed()) && !r.stopping;
         self.rows.values().flatten().filter(down).map(|row| row.name.clone()).collect()
     }
 
@@ -97,7 +97,7 @@
         self.live().iter().all(|(name, _)| own <= name.as_str())
     }
 
-    /// Returns whether a claimant has left, or not responded for so long, that its jobs are adopted.
+    /// Returns whether the jobs of a claimant may be adopted: it stops, or has sent no ping for `ADOPT_AFTER`.
     fn is_adoptable(&self, claimant: &str) -> bool {
         match self.claimants.get(claimant) {
             Some(last_ping) => last_ping.elapsed() > ADOPT_AFTER,
@@ -125,12 +125,12 @@
         }
     }
 
-    pub(super) fn own_ping(&self, leaving: bool) -> Ping {
+    pub(super) fn own_ping(&self, stopping: bool) -> Ping {
         Ping {
             name: self.claimant.clone(),
             address: self.address.clone(),
             offset: lock(&self.ledger).fold.next_offset,
-            leaving,
+            leaving: stopping,
         }
     }
 
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Notifies the other entries that this one leaves, so that they adopt its jobs at once.
-    pub(super) async fn notify_leaving(&self) {
+    /// Notifies the other entries that this one stops, so that they adopt its jobs at once.
+    pub(super) async fn notify_stopping(&self) {
         let addresses = lock(&self.peers).addresses();
         for address in addresses.iter().filter(|address| **address != self.address) {
             let ping = self.own_ping(true);
@@ -154,12 +154,14 @@
                 .entries
                 .call(address, |peer| async move { peer.ping(call_context(PING_TIMEOUT), ping).await });
             if let Err(e) = call.await {
-                log::debug!("entry at {address} was not notified of the stop: {e}");
+                log::debug!(
+                    "entry at {address} was not notified of the stop and detects it by missing pings: {e}"
+                );
             }
         }
     }
 
-    /// Claims the jobs of entries that no longer respond, if this entry is the first of the responsive ones.
+    /// Claims the jobs of entries that stop or no longer respond, if this entry is the first of the responsive ones.
     async fn adopt_orphans(&self) {
         if self.stop.is_raised() || !lock(&self.peers).is_first(&self.claimant) {
             return;
--- a/crates/daemon/src/entry/plan.rs
+++ b/crates/daemon/src/entry/plan.rs
@@ -18,7 +18,8 @@
 /// Interval between checks whether the plan still fits.
 const PLAN_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Consecutive checks with the same proposal before backing moves: a worker may be unresponsive only briefly.
+/// Consecutive checks that must give the same proposal before backing moves away from a worker, which may only be
+/// unresponsive for a short time.
 const MIN_STABLE_CHECKS: u32 = 3;
 
 /// Time after the start within which some workers may not have sent a heartbeat yet.
@@ -53,7 +54,7 @@
                 planned_inputs = Some(inputs);
                 continue;
             }
-            // Account changes are planned at once; a lost worker may only have been late.
+            // Account changes are planned at once; a lost worker's heartbeats may only be late.
             let removes_backing = loses_backing(&plan, &proposal);
             let checks =
                 candidate.as_ref().filter(|(p, _)| *p == proposal).map_or(1, |(_, checks)| checks + 1);
--- a/crates/daemon/src/entry/rows.rs
+++ b/crates/daemon/src/entry/rows.rs
@@ -221,17 +221,17 @@
 
 /// Returns the commands that the fold retains.
 pub fn history(fold: &Fold) -> Vec<Row> {
-    let rows = fold.history.iter().map(|entry| {
-        let (verdict, version) = match &entry.outcome {
+    let rows = fold.history.iter().map(|command| {
+        let (outcome, version) = match &command.outcome {
             CommandOutcome::Accepted { version } => ("accepted", *version),
             CommandOutcome::Void { current, .. } => ("void", *current),
         };
         row([
-            ("offset", json!(entry.offset)),
-            ("id", json!(entry.record.id)),
-            ("operator", json!(entry.record.operator)),
-            ("subject", json!(entry.record.command.subject())),
-            ("verdict", json!(verdict)),
+            ("offset", json!(command.offset)),
+            ("id", json!(command.record.id)),
+            ("operator", json!(command.record.operator)),
+            ("subject", json!(command.record.command.subject())),
+            ("verdict", json!(outcome)),
             ("version", json!(version)),
         ])
     });
--- a/crates/daemon/src/entry/schedule.rs
+++ b/crates/daemon/src/entry/schedule.rs
@@ -43,7 +43,7 @@
 impl Entry {
     pub(super) async fn schedule_loop(self: Arc<Self>) {
         loop {
-            let _ = tokio::time::timeout(self.settings.entry.tick, self.wake.notified()).await;
+            let _ = tokio::time::timeout(self.settings.entry.tick, self.schedule_wake.notified()).await;
             self.run_pass();
             // Batches the wake-ups of the next few milliseconds into one pass.
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
@@ -251,6 +251,6 @@
         let retry_at_ms = now_ms.max(unix_ms()) + RETRY_DELAY_MS;
         let driver = Driver { running: None, retry_at_ms: Some(retry_at_ms) };
         lock(&self.drivers).insert(job.clone(), driver);
-        self.wake.notify_one();
+        self.schedule_wake.notify_one();
     }
 }
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -57,7 +57,7 @@
             (fleet.record_heartbeat(heartbeat), fleet.heartbeat_interval_ms())
         };
         if has_report {
-            self.wake.notify_one();
+            self.schedule_wake.notify_one();
         }
         let outdated = self.with_fold(|fold| fold.agent_version() + 1 > offset) == Some(true);
         let config = if outdated { self.agent_config(&worker) } else { None };
@@ -65,7 +65,7 @@
         HeartbeatReply { report_number, next_ms: next_ms as u32, config, entries }
     }
 
-    /// Returns the addresses of the entries on the log, and the own one.
+    /// Returns the addresses of the entries on the log, and this entry's own address.
     fn entry_addresses(&self) -> Vec<String> {
         let mut addresses = self.with_fold(|fold| fold.entries.values().cloned().collect::<Vec<_>>());
         let addresses = addresses.get_or_insert_default();
@@ -120,7 +120,7 @@
         match call.await {
             Ok(offset) => lock(&self.fleet).record_configured(worker, offset),
             Err(e) => log::debug!(
-                "configuration not pushed to agent at {address}, its next heartbeat fetches it: {e}"
+                "configuration not pushed to agent at {address}; its next heartbeat fetches it: {e}"
             ),
         }
     }
--- a/crates/daemon/src/entry/short.rs
+++ b/crates/daemon/src/entry/short.rs
@@ -13,7 +13,7 @@
 use crate::entry::answer::{Answer, RequestBody};
 use crate::sync::lock;
 
-/// Attempts of one request at most.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: usize = 3;
 
 /// Time after which a caller should retry a refused request.
@@ -173,7 +173,7 @@
 
     /// Returns whether time and retry budget allow a retry.
     ///
-    /// If so, it has taken a token of the budget and waited for a random delay.
+    /// Before it returns true, it takes a token from the budget and waits for a random delay.
     async fn may_retry(&self, call: &Call<'_>) -> bool {
         if call.remaining_ms() == 0 || !lock(&self.retries).withdraw() {
             return false;
--- a/crates/daemon/src/entry/write.rs
+++ b/crates/daemon/src/entry/write.rs
@@ -1,4 +1,4 @@
-//! Batched appends to the log; a write completes once the entry's own fold has read it back.
+//! Batched appends to the log; a write completes once the entry's fold has read it back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,16 +10,15 @@
 use crate::entry::Entry;
 use crate::log_client;
 
-/// Result of a write.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Writes that may wait in the queue at most.
+/// Maximum number of writes in the queue.
 const MAX_QUEUED_WRITES: usize = 4_096;
 
 /// Records in a batch after which no further write is added to it.
 const MAX_BATCH_RECORDS: usize = 1_000;
 
-/// Time within which the own fold must have read an append back.
+/// Time within which this entry's fold must have read an append back.
 const READ_BACK_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why a record is not known to be on the log.
@@ -38,14 +37,13 @@
     result_tx: oneshot::Sender<Result<()>>,
 }
 
-/// The queue of writes.
+/// Queue of writes.
 pub struct Writer {
     tx: mpsc::Sender<Write>,
     rx: Mutex<mpsc::Receiver<Write>>,
 }
 
 impl Writer {
-    /// Creates an empty queue.
     pub fn new() -> Self {
         let (tx, rx) = mpsc::channel(MAX_QUEUED_WRITES);
         Self { tx, rx: Mutex::new(rx) }
@@ -53,7 +51,7 @@
 }
 
 impl Entry {
-    /// Appends records and waits until the own fold has read them back.
+    /// Appends records and waits until this entry's fold has read them back.
     ///
     /// # Errors
     ///
--- a/crates/daemon/src/log_client.rs
+++ b/crates/daemon/src/log_client.rs
@@ -47,7 +47,7 @@
     pub next: u64,
 }
 
-/// Record as read, kept as raw JSON because the log may hold records of other software.
+/// Record as read, kept as raw JSON because the log may also hold records of other software.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RawRecord {
     pub offset: u64,
@@ -61,7 +61,8 @@
     pub first: u64,
     /// Offset after the latest record of the log.
     pub next: u64,
-    pub entries: Vec<RawRecord>,
+    #[serde(rename = "entries")]
+    pub records: Vec<RawRecord>,
 }
 
 #[derive(Clone, Debug)]
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,4 +1,4 @@
-//! Request to stop the process, made by a signal or by a caller.
+//! Request to stop the process, made by a signal or by code such as a test.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
