--- a/examples/start.sh
+++ b/examples/start.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Starts a site of separate processes on loopback and stops them all on Ctrl-C: examples/start.sh haiphong
+# Starts a deployment of separate processes on loopback and stops them all on Ctrl-C: examples/start.sh haiphong
 set -euo pipefail
 cd "$(dirname "$0")/.."
 site=${1:?name a site: haiphong or consortium}
