--- a/crates/replay/src/cost.rs
+++ b/crates/replay/src/cost.rs
@@ -119,7 +119,8 @@
     AccountId::new(&format!("team-{index:03}"))
 }
 
-/// Returns a table of the pass times at the target size, and with each dimension scaled by 2 and by 4.
+/// Returns a table of the pass times at the target size, and with one dimension at a time scaled by 2 and
+/// by 4.
 pub fn scaling_table() -> String {
     let mut lines = vec!["workers  running  waiting     mean  longest".to_owned()];
     let mut sizes = vec![TARGET_SIZE];
--- a/crates/replay/src/measure.rs
+++ b/crates/replay/src/measure.rs
@@ -107,7 +107,8 @@
     total_ms: f64,
     reclaim_ms: Vec<Millis>,
     urgent_wait_ms: Vec<Millis>,
-    /// Guarantees that were not returned in time, or could not be because other work pins the resources.
+    /// Breaches of guarantees: one per pass and worker on which other work pins the resources, and one per job
+    /// whose guarantee was not returned in time.
     pub breaches: u64,
     /// Running gangs that were asked to yield their resources.
     pub preemptions: u64,
@@ -135,7 +136,8 @@
     pub fragmentation: f64,
     /// Time average of the same accelerators as a fraction of all accelerators.
     pub stranded: f64,
-    /// Guarantees that were not returned in time, or could not be because other work pins the resources.
+    /// Breaches of guarantees: one per pass and worker on which other work pins the resources, and one per job
+    /// whose guarantee was not returned in time.
     pub breaches: u64,
     /// Longest time from when a waiting job fits its account's unused guarantee to its start, in seconds.
     pub longest_reclaim_s: f64,
--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -290,8 +290,8 @@
         Scenario { workers, accounts, jobs: self.jobs, cancel_waves, outages, policy }
     }
 
-    /// Returns every seventh job that arrives from 8:00 until the cancellation wave at 9:10, which covers the
-    /// burst at 9:00.
+    /// Returns every seventh job that arrives from 8:00 until the cancellation wave at 9:10. The window covers
+    /// the burst at 9:00 in `haiphong` and at 8:00 in `consortium`; `fleet` has none in it.
     fn jobs_to_cancel(&self) -> Vec<JobId> {
         let in_window =
             |job: &&TraceJob| (8 * HOUR_MS..9 * HOUR_MS + 10 * MINUTE_MS).contains(&job.arrival_ms);
--- a/crates/replay/src/sim.rs
+++ b/crates/replay/src/sim.rs
@@ -21,7 +21,7 @@
 use crate::measure::{Measurements, Report};
 use crate::scenario::{Scenario, ScenarioName, TraceJob};
 
-/// Scheduler that makes the decisions.
+/// Scheduler variant that a replay uses.
 #[derive(Clone, Copy, Debug, Display, FromStr, PartialEq, Eq)]
 pub enum SchedulerPolicy {
     /// The scheduling core.
@@ -53,8 +53,8 @@
 /// Run time lost by a restart from a checkpoint.
 const RESTART_COST_MS: Millis = 30 * SECOND_MS;
 
-/// Time allowed for returning a guarantee beyond the checkpoint grace period: the interval of the pass before
-/// it and of the pass after it.
+/// Time allowed for returning a guarantee beyond the checkpoint grace period: up to one interval until a pass
+/// preempts, and up to one until a pass starts the job.
 const RECLAIM_MARGIN_MS: Millis = 2 * PASS_INTERVAL_MS;
 
 /// Simulation events. Events at the same time are handled in the order of the variants.
