--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -41,7 +41,7 @@
   --version           print the version
 
 Options of request and submit:
-  --idempotent        the request may run more than once; otherwise a request key is created first
+  --idempotent        the request may run more than once; otherwise an idempotency key is created first
   --deadline-ms N     time until the response is needed [10000]
   --shape SHAPE       tasks x accelerators @ level, such as 2x8@rack
   --class CLASS       batch, normal or urgent [normal]
--- a/crates/ctl/src/call.rs
+++ b/crates/ctl/src/call.rs
@@ -59,7 +59,7 @@
                     let body = serde_json::from_slice(&reply.body).unwrap_or_else(|_| text());
                     return Ok(Response { status: reply.status, body });
                 }
-                // A call that may have been sent is not repeated: it could take effect twice.
+                // Only a call that was never sent goes to the next entry; any other could take effect twice.
                 Err(e) if e.never_sent() => last_error = format!("{address}: {e}"),
                 Err(e) => return Err(Error::OutcomeUnknown(format!("{address}: {e}"))),
             }
@@ -67,7 +67,7 @@
         Err(Error::NoEntry(last_error))
     }
 
-    /// Sends a short request. If it is not idempotent, a request key is created first.
+    /// Sends a short request. If it is not idempotent, an idempotency key is created first.
     ///
     /// # Errors
     ///
--- a/crates/ctl/src/plot.rs
+++ b/crates/ctl/src/plot.rs
@@ -21,11 +21,11 @@
         .flatten()
         .filter_map(|point| Some((point["ms_ago"].as_f64()? / 1_000.0, point["burn"].as_f64()?)))
         .collect();
-    let oldest = points.iter().map(|(age_s, _)| *age_s).fold(10.0, f64::max);
+    let oldest_s = points.iter().map(|(age_s, _)| *age_s).fold(10.0, f64::max);
     let axis_top = points.iter().map(|(_, burn)| *burn).fold(MIN_AXIS_TOP, f64::max);
-    let x = |age_s: f64| MARGIN_PX + (1.0 - age_s / oldest) * (SIZE_PX.0 - 2.0 * MARGIN_PX);
+    let x = |age_s: f64| MARGIN_PX + (1.0 - age_s / oldest_s) * (SIZE_PX.0 - 2.0 * MARGIN_PX);
     let y = |burn: f64| SIZE_PX.1 - MARGIN_PX - burn / axis_top * (SIZE_PX.1 - 2.0 * MARGIN_PX);
-    let (left, right, bottom) = (x(oldest), x(0.0), y(0.0));
+    let (left, right, bottom) = (x(oldest_s), x(0.0), y(0.0));
     let mut svg = String::new();
     // Writing to a `String` cannot fail.
     let mut line = |text: String| _ = writeln!(svg, "{text}");
@@ -41,7 +41,7 @@
         ));
         line(label(left - 6.0, y(burn) + 4.0, "end", &format!("{burn:.1}")));
     }
-    line(label(left, bottom + 20.0, "start", &format!("{oldest:.0} s ago")));
+    line(label(left, bottom + 20.0, "start", &format!("{oldest_s:.0} s ago")));
     line(label(right, bottom + 20.0, "end", "now"));
     let path: Vec<String> =
         points.iter().map(|(age_s, burn)| format!("{:.1},{:.1}", x(*age_s), y(*burn))).collect();
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs the command of a command line.
+//! Runs the parsed command.
 
 use std::io::{BufRead, IsTerminal};
 
@@ -16,7 +16,7 @@
 /// Exit status of a command that was refused, failed or did not run.
 pub const EXIT_REFUSED: u8 = 1;
 
-/// Exit status for a usage error.
+/// Exit status for a usage error, a malformed request, or a local file that cannot be read or written.
 pub const EXIT_USAGE: u8 = 2;
 
 /// Exit status for an outcome that is unknown or not known yet.
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -21,7 +21,7 @@
     let mut lines: Vec<Vec<String>> = vec![names.iter().map(ToString::to_string).collect()];
     lines.extend(rows.iter().map(|row| names.iter().map(|name| cell(name, &row[name])).collect()));
     let widths: Vec<usize> = (0..names.len())
-        .map(|at| lines.iter().map(|line| line[at].chars().count()).max().unwrap_or_default())
+        .map(|column| lines.iter().map(|line| line[column].chars().count()).max().unwrap_or_default())
         .collect();
     let mut text = String::new();
     for line in &lines {
--- a/crates/load/src/agents.rs
+++ b/crates/load/src/agents.rs
@@ -67,7 +67,7 @@
         window,
         shares: Vec::new(),
     };
-    // Starts are spread over one second, so that heartbeats are spread as in a fleet that ran for a while.
+    // Starts are spread over one second, as heartbeats are in a fleet that has been running for a while.
     tokio::time::sleep(Duration::from_millis(index as u64 * 1_000 / args.agents.max(1) as u64)).await;
     let Ok(client) = EntryRpcClient::connect(&args.rpc, &args.process_key).await else { return };
     let mut acknowledged_report = 0;
--- a/crates/load/src/args.rs
+++ b/crates/load/src/args.rs
@@ -20,7 +20,7 @@
   --rate N             requests per second to the entry, and as many to the upstream [1000]
   --seconds N          length of the run in seconds [10]
   --cost-ms N          work of one request in milliseconds [0]
-  --keyed              create a request key for each request
+  --keyed              create an idempotency key for each request
   --pid NAME=PID       process whose CPU time and memory are reported; may be given more than once
   --help               print this text
 
@@ -48,7 +48,7 @@
     pub seconds: u64,
     /// Work of one request in milliseconds.
     pub cost_ms: u64,
-    /// Whether a request key is created for each request.
+    /// Whether an idempotency key is created for each request.
     pub keyed: bool,
     /// Number of simulated agents; if not 0, heartbeats are sent instead of requests.
     pub agents: usize,
@@ -56,7 +56,7 @@
     pub rpc: String,
     /// Key that the processes of the site share.
     pub process_key: String,
-    /// Names and ids of the processes whose CPU time and memory are reported.
+    /// Names and process IDs of the processes whose CPU time and memory are reported.
     pub processes: Vec<(String, u32)>,
 }
 
