--- a/crates/sorrelland/src/bin/sorrelland-replay.rs
+++ b/crates/sorrelland/src/bin/sorrelland-replay.rs
@@ -19,10 +19,10 @@
 
 fn replay(args: &args::Args) {
     for seed in args.seed..args.seed + args.seeds {
-        let (found, cost) = sim::run(args.scenario, args.policy, seed);
+        let (result, cost) = sim::run(args.scenario, args.policy, seed);
         match args.json {
-            true => println!("{}", serde_json::json!(found)),
-            false => println!("{}\n", report::to_text(&found)),
+            true => println!("{}", serde_json::json!(result)),
+            false => println!("{}\n", report::to_text(&result)),
         }
         if args.cost {
             let mean = cost.total / cost.passes.max(1);
--- a/crates/sorrelland/src/bin/sorrellandctl.rs
+++ b/crates/sorrelland/src/bin/sorrellandctl.rs
@@ -1,4 +1,4 @@
-//! Command-line tool for operators.
+//! Command-line tool for callers and operators.
 
 use std::process::ExitCode;
 
--- a/crates/sorrelland/src/bin/sorrellandd.rs
+++ b/crates/sorrelland/src/bin/sorrellandd.rs
@@ -21,7 +21,7 @@
   --check-settings FILE   report all errors in FILE without starting anything
   --platform ROLE         run ROLE, entry or agent, on the users' platform, with the settings file named by
                           the environment variable SORRELLANDING_SETTINGS
-  --metrics-port PORT     port of the instance that serves the metrics of a platform role
+  --metrics-port PORT     port of the instance on which a platform role serves its metrics
   --help                  print this text
   --version               print the version
 
@@ -141,7 +141,7 @@
         eprintln!("sorrellandd: {e}");
         return ExitCode::FAILURE;
     }
-    // An instance of the platform has a fraction of a core, so that more threads would not run in parallel.
+    // An instance of the platform has a fraction of a core, so more threads would not run in parallel.
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
--- a/crates/sorrelland/tests/common/history.rs
+++ b/crates/sorrelland/tests/common/history.rs
@@ -14,7 +14,7 @@
     pub subject: String,
     /// Name of the task, or idempotency key of the request.
     pub id: String,
-    /// Attempt of the job; 0 for a request.
+    /// Epoch (fencing token) of the job's attempt; 0 for a request.
     pub epoch: u64,
 }
 
--- a/crates/sorrelland/tests/common/mod.rs
+++ b/crates/sorrelland/tests/common/mod.rs
@@ -24,7 +24,7 @@
 
 static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// Processes of a test, killed when it is dropped.
+/// Processes of a test; dropping the environment kills them.
 pub struct TestEnv {
     /// First three octets of the loopback addresses.
     network: String,
@@ -53,7 +53,8 @@
         Self { network, dir, children: BTreeMap::new(), entries, lease_ms: 1_000 }
     }
 
-    /// Starts log, entries, workers and agents, and waits until each entry reports all workers.
+    /// Starts log, entries, workers and agents, waits until each entry reports all workers, and creates the
+    /// accounts.
     pub async fn start(entries: usize, workers: usize) -> Self {
         let mut env = Self::new(entries);
         env.start_log().await;
@@ -78,7 +79,7 @@
         format!("{}.{host}:{port}", self.network)
     }
 
-    /// Returns the directory of settings and process output.
+    /// Returns the directory for settings files and process output.
     pub fn dir(&self) -> &std::path::Path {
         &self.dir
     }
--- a/crates/sorrelland/tests/common/platform.rs
+++ b/crates/sorrelland/tests/common/platform.rs
@@ -18,10 +18,10 @@
 
 const METRICS_PORT: u16 = 9_464;
 
-/// Time for the platform's cancellation plus the time for a stop (`stop_ms`).
+/// Time that the platform allows for a cancellation, plus the time for a stop (`stop_ms`).
 pub const CANCEL_BOUND: Duration = Duration::from_millis(3_000 + 400);
 
-/// Time within which the platform expects service again after all processes were lost.
+/// Time within which the platform expects service again after the loss of all processes.
 pub const RECOVERY_BOUND: Duration = Duration::from_secs(12);
 
 pub struct Platform {
@@ -164,7 +164,7 @@
         self.await_state("00000000000000ff", "completed", Duration::from_secs(10)).await;
     }
 
-    /// Appends a desired state with these account keys to the store.
+    /// Appends a desired state with these account keys to the store, as an operator does.
     pub async fn publish(&self, version: u64, keys: &[&str]) {
         let desired = json!({
             "version": version,
@@ -199,10 +199,10 @@
         self.call_within(3_000, index, method, path, key, body).await
     }
 
-    /// Sends a request with a deadline of `wait_ms`; returns status 0 if there is no response.
+    /// Sends a request with a deadline of `deadline_ms`; returns status 0 if there is no response.
     pub async fn call_within(
         &self,
-        wait_ms: u64,
+        deadline_ms: u64,
         index: usize,
         method: Method,
         path: &str,
@@ -213,7 +213,7 @@
         let headers = [
             (header::HOST, HeaderValue::from_static(HOST)),
             (header::AUTHORIZATION, HeaderValue::from_str(&format!("Token {key}")).unwrap()),
-            (HeaderName::from_static("x-deadline-ms"), HeaderValue::from(wait_ms)),
+            (HeaderName::from_static("x-deadline-ms"), HeaderValue::from(deadline_ms)),
         ];
         let bytes = if body.is_null() { Bytes::new() } else { Bytes::from(body.to_string()) };
         let url = format!("http://{}{path}", self.env.address(10 + index, 8_521));
@@ -311,7 +311,7 @@
             })
             .filter(|line| line.contains(&format!("job={job}")))
             .collect();
-        // The sort is stable: lines of one process with the same time stamp keep their order.
+        // The sort is stable: lines of one process with the same timestamp keep their order.
         let timestamp = |line: &String| line.split(' ').next().unwrap_or_default().to_owned();
         lines.sort_by_key(timestamp);
         let event = |line: &String| line.split(" event=").nth(1)?.split(' ').next().map(str::to_owned);
--- a/crates/sorrelland/tests/failure.rs
+++ b/crates/sorrelland/tests/failure.rs
@@ -352,6 +352,7 @@
         assert_eq!(body["commands"][0]["result"], "accepted");
     }
     tokio::time::sleep(Duration::from_millis(2_500)).await;
+    // The log now keeps only its newest 60 records, so a new entry cannot read it from the start.
     env.set_faults(&env.log_address(), json!({ "mode": "up", "retain": 60 })).await;
     env.apply("set account museum weight 5").await;
     env.kill("entry-1");
--- a/crates/sorrelland/tests/platform.rs
+++ b/crates/sorrelland/tests/platform.rs
@@ -124,6 +124,7 @@
     }
     let leader = format!("entry-{}", platform.leader());
     platform.env.signal(&leader, Signal::SIGSTOP);
+    // Longer than `LEADER_TIMEOUT_MS`, so another entry becomes the leader.
     tokio::time::sleep(Duration::from_secs(4)).await;
     platform.env.signal(&leader, Signal::SIGCONT);
     for number in 1..=4 {
@@ -297,7 +298,7 @@
     let platform = Platform::start(2, 2).await;
     assert_eq!(platform.submit(1, &job(1), json!([step(1)]), "fails run_ms=50").await, 200);
     platform.await_state(&job(1), "failed", Duration::from_secs(10)).await;
-    // Only events of the planner: those of the agents can have the same time stamp, in milliseconds.
+    // Only events of the planner: those of the agents can have the same timestamp, in milliseconds.
     let events = ["placed", "run_ended", "placed", "run_ended", "job_ended"];
     eventually(Duration::from_secs(2), "the end is logged", async || {
         platform.job_events(&job(1)).iter().any(|(event, _)| event == "job_ended")
--- a/crates/sorrelland/tests/recovery.rs
+++ b/crates/sorrelland/tests/recovery.rs
@@ -13,7 +13,7 @@
 /// Bound of the platform for recovery from the loss of a part of the system or of the store.
 const CATCH_UP_BOUND: Duration = Duration::from_secs(4);
 
-/// Lost processes, and whether they are restarted.
+/// What is lost, and whether it is restarted.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
     /// Process of the leader, restarted immediately.
