--- a/crates/daemon/src/entry/peers.rs
+++ b/crates/daemon/src/entry/peers.rs
@@ -66,9 +66,9 @@
     pub fn record_ping(&mut self, ping: &Ping) {
         let now = Instant::now();
         let row =
-            PeerRow { name: ping.name.clone(), offset: ping.offset, stopping: ping.leaving, last_ping: now };
+            PeerRow { name: ping.name.clone(), offset: ping.offset, stopping: ping.stopping, last_ping: now };
         self.rows.insert(ping.address.clone(), Some(row));
-        if ping.leaving {
+        if ping.stopping {
             // Its jobs may be adopted without waiting for `ADOPT_AFTER`.
             self.claimants.remove(&ping.name);
         } else {
@@ -130,7 +130,7 @@
             name: self.claimant.clone(),
             address: self.address.clone(),
             offset: lock(&self.ledger).fold.next_offset,
-            leaving: stopping,
+            stopping,
         }
     }
 
--- a/crates/wire/src/entry.rs
+++ b/crates/wire/src/entry.rs
@@ -88,7 +88,8 @@
     /// Log offset up to which the sender has applied the records.
     pub offset: u64,
     /// Whether the sender is shutting down.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub stopping: bool,
 }
 
 #[tarpc::service]
