--- a/crates/daemon/src/agent/heartbeat.rs
+++ b/crates/daemon/src/agent/heartbeat.rs
@@ -21,7 +21,7 @@
 const RETRY_DELAY_MS: Millis = 500;
 
 /// Consecutive heartbeats without a reply after which an entry that is not in the settings is removed.
-const MAX_UNANSWERED: u32 = 40;
+const MAX_UNANSWERED_HEARTBEATS: u32 = 40;
 
 #[derive(Clone, Debug, Default)]
 struct Row {
@@ -78,7 +78,7 @@
         row.unanswered += 1;
         row.acknowledged = 0;
         row.due_ms = now_ms + RETRY_DELAY_MS;
-        if !row.configured && row.unanswered >= MAX_UNANSWERED {
+        if !row.configured && row.unanswered >= MAX_UNANSWERED_HEARTBEATS {
             self.rows.remove(address);
         }
     }
@@ -154,7 +154,7 @@
             report_number: authority.report_number,
             in_flight: self.short_requests.in_flight(),
             service_us: self.short_requests.service_us(),
-            offset: authority.config.as_ref().map_or(0, |config| config.offset),
+            config_offset: authority.config.as_ref().map_or(0, |config| config.offset),
             report,
         }
     }
--- a/crates/daemon/src/entry/fleet.rs
+++ b/crates/daemon/src/entry/fleet.rs
@@ -111,8 +111,11 @@
         };
         row.reported_in_flight = heartbeat.in_flight;
         row.service_us = heartbeat.service_us;
-        row.config_offset =
-            if same_incarnation { row.config_offset.max(heartbeat.offset) } else { heartbeat.offset };
+        row.config_offset = if same_incarnation {
+            row.config_offset.max(heartbeat.config_offset)
+        } else {
+            heartbeat.config_offset
+        };
         row.last_heartbeat = now;
         row.report_number
     }
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -17,7 +17,7 @@
 const CONFIGURE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Time without a heartbeat after which a worker is removed from the table.
-const REMOVE_AFTER: Duration = Duration::from_secs(600);
+const WORKER_RETENTION: Duration = Duration::from_secs(600);
 
 #[derive(Clone)]
 struct Service(Arc<Entry>);
@@ -51,7 +51,7 @@
     fn handle_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatReply {
         self.metrics.count_heartbeat();
         let has_report = heartbeat.report.is_some();
-        let (worker, offset) = (heartbeat.worker.clone(), heartbeat.offset);
+        let (worker, config_offset) = (heartbeat.worker.clone(), heartbeat.config_offset);
         let (report_number, next_ms) = {
             let mut fleet = lock(&self.fleet);
             (fleet.record_heartbeat(heartbeat), fleet.heartbeat_interval_ms())
@@ -59,7 +59,7 @@
         if has_report {
             self.schedule_wake.notify_one();
         }
-        let outdated = self.with_fold(|fold| fold.agent_version() + 1 > offset) == Some(true);
+        let outdated = self.with_fold(|fold| fold.agent_version() + 1 > config_offset) == Some(true);
         let config = if outdated { self.agent_config(&worker) } else { None };
         let entries = if has_report { self.entry_addresses() } else { Vec::new() };
         HeartbeatReply { report_number, next_ms: next_ms as u32, config, entries }
@@ -93,7 +93,7 @@
         loop {
             let changed = tokio::time::timeout(Duration::from_secs(60), advanced.changed()).await;
             if changed.is_err() {
-                lock(&self.fleet).remove_unresponsive(REMOVE_AFTER);
+                lock(&self.fleet).remove_unresponsive(WORKER_RETENTION);
                 continue;
             }
             let version = self.with_fold(|fold| fold.agent_version()).unwrap_or_default();
--- a/crates/load/src/agents.rs
+++ b/crates/load/src/agents.rs
@@ -79,7 +79,7 @@
             report_number: 1,
             in_flight: 0,
             service_us: 500,
-            offset: config_offset,
+            config_offset,
             report: (acknowledged_report == 0).then(|| report.clone()),
         };
         let Ok(reply) = client.heartbeat(call_context(HEARTBEAT_TIMEOUT), heartbeat).await else { return };
--- a/crates/wire/src/agent.rs
+++ b/crates/wire/src/agent.rs
@@ -153,7 +153,7 @@
 /// The part of the configuration that an agent needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentConfig {
-    /// Version of the configuration or of the plan, whichever is greater.
+    /// One past the version of the configuration or of the plan, whichever is greater.
     pub offset: u64,
     /// Whether the worker is drained.
     pub drained: bool,
@@ -177,6 +177,6 @@
     async fn stop(job: JobId, epoch: Epoch) -> GangStatus;
     /// Returns the state of a job; the call renews the claimant's lease on it.
     async fn status(job: JobId) -> GangStatus;
-    /// Applies a configuration; returns the version in force.
+    /// Applies a configuration, unless the one in force is as new or newer; returns the offset of the one in force.
     async fn configure(config: AgentConfig) -> u64;
 }
--- a/crates/wire/src/entry.rs
+++ b/crates/wire/src/entry.rs
@@ -60,8 +60,9 @@
     pub in_flight: u32,
     /// Mean service time of short requests, in microseconds.
     pub service_us: u32,
-    /// Version of the configuration in force; 0 for none.
-    pub offset: u64,
+    /// One past the version of the configuration in force; 0 for none.
+    #[serde(rename = "offset")]
+    pub config_offset: u64,
     /// Present only if the entry has not yet acknowledged the current report.
     pub report: Option<Report>,
 }
