--- a/crates/control/src/active_planner.rs
+++ b/crates/control/src/active_planner.rs
@@ -26,7 +26,7 @@
 const PASS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Maximum time for which an agent's report waits for new assignments.
-const AGENT_WAIT: Duration = Duration::from_millis(500);
+const MAX_REPORT_WAIT: Duration = Duration::from_millis(500);
 
 /// Failed tries of an append per log line: about one line a second.
 const TRIES_PER_LOG_LINE: u32 = 10;
@@ -349,7 +349,7 @@
     }
 
     /// Applies an agent's report and returns the assignments of its worker once they differ from those last sent, or
-    /// after [`AGENT_WAIT`]. Returns `None` if this process no longer leads.
+    /// after [`MAX_REPORT_WAIT`]. Returns `None` if this process no longer leads.
     pub async fn report(&self, report: Report) -> Option<Option<Assignments>> {
         let (agent, incarnation, seq) = (report.agent.clone(), report.agent_incarnation, report.seq);
         let has_results = !report.ended.is_empty() || !report.not_started.is_empty();
@@ -372,7 +372,7 @@
         if has_results || joined {
             self.pass.notify_one();
         }
-        let deadline = tokio::time::Instant::now() + AGENT_WAIT;
+        let deadline = tokio::time::Instant::now() + MAX_REPORT_WAIT;
         loop {
             if self.has_stepped_down() {
                 return None;
--- a/crates/control/src/callers.rs
+++ b/crates/control/src/callers.rs
@@ -31,7 +31,7 @@
 const MIN_PLANNER_WAIT_MS: u64 = 60;
 
 /// Time after which callers should retry while there is no planner, in milliseconds: the duration of a takeover.
-const TAKEOVER_RETRY_MS: u64 = 2_000;
+const TAKEOVER_RETRY_AFTER_MS: u64 = 2_000;
 
 impl Entry {
     /// Responds to a caller and records the latency.
@@ -50,7 +50,8 @@
     async fn route(&self, http_request: &Request) -> Response {
         let desired = self.desired.borrow().clone();
         if desired.version == 0 {
-            return Response::new(StatusCode::SERVICE_UNAVAILABLE).with_retry_after_ms(TAKEOVER_RETRY_MS);
+            return Response::new(StatusCode::SERVICE_UNAVAILABLE)
+                .with_retry_after_ms(TAKEOVER_RETRY_AFTER_MS);
         }
         let Some(queue) = desired.queue_for(&http_request.host, &http_request.path) else {
             return refuse(StatusCode::NOT_FOUND, "no such queue");
@@ -207,7 +208,7 @@
     log::warn!("event=unanswered what={operation} job={name} asked={result:?}");
     match result {
         RequestResult::NeverSent => refuse(StatusCode::SERVICE_UNAVAILABLE, "no planner reachable")
-            .with_retry_after_ms(TAKEOVER_RETRY_MS),
+            .with_retry_after_ms(TAKEOVER_RETRY_AFTER_MS),
         _ => refuse(StatusCode::GATEWAY_TIMEOUT, "outcome not known yet; retry with the same job name"),
     }
 }
--- a/crates/daemon/src/agent/short.rs
+++ b/crates/daemon/src/agent/short.rs
@@ -18,7 +18,7 @@
 use crate::sync::lock;
 
 /// Length of a key window.
-pub const KEY_WINDOW: Duration = Duration::from_secs(600);
+pub const KEY_WINDOW_DURATION: Duration = Duration::from_secs(600);
 
 /// Delay that a refused caller should wait before it retries.
 const RETRY_MS: Millis = 200;
@@ -110,7 +110,7 @@
 impl Agent {
     pub(super) async fn key_window_loop(self: std::sync::Arc<Self>) {
         loop {
-            tokio::time::sleep(KEY_WINDOW).await;
+            tokio::time::sleep(KEY_WINDOW_DURATION).await;
             self.short_requests.open_next_window();
             lock(&self.authority).report_number += 1;
         }
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -23,7 +23,7 @@
 }
 
 /// Line of the text format: time, level, module, request, job and message.
-const PATTERN: &str =
+const LINE_PATTERN: &str =
     "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {t} request={K(request)(-)} job={K(job)(-)} {m}{n}";
 
 /// Sets up logging to standard error.
@@ -34,7 +34,7 @@
 pub fn init(logging: &Logging) -> Result<()> {
     let level: LevelFilter = logging.level.parse().unwrap_or(LevelFilter::Info);
     let encoder: Box<dyn Encode> = match logging.format {
-        Format::Text => Box::new(PatternEncoder::new(PATTERN)),
+        Format::Text => Box::new(PatternEncoder::new(LINE_PATTERN)),
         Format::Json => Box::new(JsonEncoder::new()),
     };
     let console = ConsoleAppender::builder().target(Target::Stderr).encoder(encoder).build();
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -18,10 +18,10 @@
 }
 
 /// Key prefix of submissions; written once for each job.
-const SUBMITTED: &str = "j/";
+const SUBMISSION_PREFIX: &str = "j/";
 
 /// Key prefix of progress records; written whenever a job changes.
-const PROGRESS: &str = "s/";
+const PROGRESS_PREFIX: &str = "s/";
 
 /// A record for the store; an empty value deletes the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 /// Returns an error if the submission can't be serialized.
 pub fn submitted(job: &Job) -> Result<Record> {
     let value = Submitted { sub: job.sub.clone(), accepted_ms: job.accepted_ms };
-    Ok(Record { key: format!("{SUBMITTED}{}", job.sub.job), value: serde_json::to_vec(&value)? })
+    Ok(Record { key: format!("{SUBMISSION_PREFIX}{}", job.sub.job), value: serde_json::to_vec(&value)? })
 }
 
 /// Encodes the progress of a job.
@@ -71,19 +71,20 @@
         started: job.started,
         units: units.map(|(key, unit)| (*key, unit.clone())).collect(),
     };
-    Ok(Record { key: format!("{PROGRESS}{}", job.sub.job), value: serde_json::to_vec(&value)? })
+    Ok(Record { key: format!("{PROGRESS_PREFIX}{}", job.sub.job), value: serde_json::to_vec(&value)? })
 }
 
 /// Returns the records that delete a job from the store.
 pub fn dropped(job: &str) -> [Record; 2] {
-    [SUBMITTED, PROGRESS].map(|prefix| Record { key: format!("{prefix}{job}"), value: Vec::new() })
+    [SUBMISSION_PREFIX, PROGRESS_PREFIX]
+        .map(|prefix| Record { key: format!("{prefix}{job}"), value: Vec::new() })
 }
 
 /// Decodes the jobs from the newest record of each key; also returns a message for each record that can't be read.
 pub fn read<'a>(records: impl Iterator<Item = (&'a str, &'a [u8])> + Clone) -> (Vec<Job>, Vec<String>) {
     let (mut jobs, mut unreadable) = (std::collections::BTreeMap::new(), Vec::new());
     for (key, value) in records.clone() {
-        let Some(name) = key.strip_prefix(SUBMITTED) else { continue };
+        let Some(name) = key.strip_prefix(SUBMISSION_PREFIX) else { continue };
         match serde_json::from_slice::<Submitted>(value) {
             Ok(read) => {
                 jobs.insert(name.to_owned(), new_job(read.sub, read.accepted_ms));
@@ -92,7 +93,7 @@
         }
     }
     for (key, value) in records {
-        let Some(name) = key.strip_prefix(PROGRESS) else { continue };
+        let Some(name) = key.strip_prefix(PROGRESS_PREFIX) else { continue };
         let Some(job) = jobs.get_mut(name) else {
             unreadable.push(format!("{key}: progress record of a job without a submission record"));
             continue;
--- a/crates/fleet/src/worker.rs
+++ b/crates/fleet/src/worker.rs
@@ -7,13 +7,13 @@
 use crate::task::Task;
 
 /// Consecutive failures after which a worker is ejected.
-const EJECT_AFTER_FAILURES: u32 = 3;
+const FAILURES_TO_EJECT: u32 = 3;
 
 /// Duration of a worker's first ejection, in milliseconds; doubles with each ejection up to the limit.
-const EJECT_MS: u64 = 4_000;
+const MIN_EJECTION_MS: u64 = 4_000;
 
 /// Maximum duration of an ejection, in milliseconds, so that a recovered worker is soon tried again.
-const MAX_EJECT_MS: u64 = 15_000;
+const MAX_EJECTION_MS: u64 = 15_000;
 
 /// One incarnation of a worker.
 #[derive(Clone, Debug)]
@@ -93,12 +93,12 @@
     /// Records a failed run, and ejects the worker after too many consecutive failures.
     pub fn record_failure(&mut self, now: u64) {
         self.consecutive_failures += 1;
-        if self.consecutive_failures >= EJECT_AFTER_FAILURES {
-            let eject_ms = EJECT_MS.saturating_mul(1 << self.ejections.min(4)).min(MAX_EJECT_MS);
-            self.ejected_until = now + eject_ms;
+        if self.consecutive_failures >= FAILURES_TO_EJECT {
+            let ejection_ms = MIN_EJECTION_MS.saturating_mul(1 << self.ejections.min(4)).min(MAX_EJECTION_MS);
+            self.ejected_until = now + ejection_ms;
             self.ejections += 1;
             // After an ejection, a single further failure ejects the worker again.
-            self.consecutive_failures = EJECT_AFTER_FAILURES - 1;
+            self.consecutive_failures = FAILURES_TO_EJECT - 1;
         }
     }
 }
--- a/crates/lang/src/select.rs
+++ b/crates/lang/src/select.rs
@@ -12,7 +12,7 @@
 pub type Row = BTreeMap<String, Value>;
 
 /// Jaro-Winkler similarity from which a known field is suggested for an unknown one.
-const SUGGEST_SIMILARITY: f64 = 0.7;
+const MIN_SIMILARITY: f64 = 0.7;
 
 /// Error for a field that the table does not have.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
@@ -60,7 +60,7 @@
         if !known.contains(field.as_str()) {
             let scored = known.iter().map(|k| (strsim::jaro_winkler(field, k), *k));
             let best = scored.max_by(|a, b| a.0.total_cmp(&b.0));
-            let suggestion = best.filter(|(s, _)| *s >= SUGGEST_SIMILARITY).map(|(_, k)| k.to_owned());
+            let suggestion = best.filter(|(s, _)| *s >= MIN_SIMILARITY).map(|(_, k)| k.to_owned());
             let known = known.iter().map(ToString::to_string).collect();
             return Err(SelectError { field: field.clone(), suggestion, known });
         }
--- a/crates/standin/src/platform_worker.rs
+++ b/crates/standin/src/platform_worker.rs
@@ -20,7 +20,7 @@
 
 pub type Result<T, E = HttpError> = std::result::Result<T, E>;
 
-const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(300);
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(300);
 
 const MAX_LEASE_MS: u64 = 6_000;
 
@@ -162,7 +162,7 @@
         });
         // A lost announcement needs no handling: the next one follows after the interval.
         let _ = client.send(Method::PUT, &url, &[], Bytes::from(body.to_string())).await;
-        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
+        tokio::time::sleep(ANNOUNCEMENT_INTERVAL).await;
     }
 }
 
