--- a/crates/fleet/src/place.rs
+++ b/crates/fleet/src/place.rs
@@ -332,12 +332,12 @@
 /// Returns a sort key: the resources that would remain free, accelerators first. The tightest fit leaves whole workers
 /// free; a step without accelerators prefers workers that are in use.
 fn fit_order(free: &Resources, need: &Resources, worker: &Worker) -> (i64, i64) {
-    let mut rest = *free;
-    rest -= *need;
+    let mut remaining = *free;
+    remaining -= *need;
     let idle = i64::from(worker.used == Resources::default());
     match need.accelerators {
-        0 => (rest.accelerators + idle, rest.millicores),
-        _ => (rest.accelerators, rest.millicores),
+        0 => (remaining.accelerators + idle, remaining.millicores),
+        _ => (remaining.accelerators, remaining.millicores),
     }
 }
 
--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -172,8 +172,8 @@
         let mut free = workers.to_vec();
         for (worker, resources) in &mut free {
             for index in chosen {
-                if let Some(more) = victims[*index].resources.get(&worker.info.incarnation) {
-                    *resources += *more;
+                if let Some(freed) = victims[*index].resources.get(&worker.info.incarnation) {
+                    *resources += *freed;
                 }
             }
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -407,7 +407,7 @@
 
 fn table(columns: &[&str], rows: impl Iterator<Item = Value>) -> Value {
     let mut rows: Vec<Value> = rows.take(MAX_ROWS + 1).collect();
-    let more = rows.len() > MAX_ROWS;
+    let has_more = rows.len() > MAX_ROWS;
     rows.truncate(MAX_ROWS);
-    json!({"columns": columns, "rows": rows, "more": more})
+    json!({"columns": columns, "rows": rows, "more": has_more})
 }
--- a/crates/lease/src/member.rs
+++ b/crates/lease/src/member.rs
@@ -196,7 +196,7 @@
     }
 
     fn check_fence(&self, job: &JobId, epoch: Epoch) -> Result<()> {
-        let least = self.min_unfenced_epoch(job);
-        if epoch < least { Err(Refusal::Fenced { least }) } else { Ok(()) }
+        let min_unfenced = self.min_unfenced_epoch(job);
+        if epoch < min_unfenced { Err(Refusal::Fenced { least: min_unfenced }) } else { Ok(()) }
     }
 }
