--- a/crates/emul/src/measure.rs
+++ b/crates/emul/src/measure.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns the achieved share of the possible value.
-    pub fn served(&self) -> f64 {
+    pub fn served_share(&self) -> f64 {
         let (achieved, possible) =
             self.kinds.iter().fold((0.0, 0.0), |sum, kind| (sum.0 + kind.value.0, sum.1 + kind.value.1));
         if possible > 0.0 { achieved / possible } else { 1.0 }
@@ -58,6 +58,6 @@
             kind.name, sum.uncancelled, sum.in_time, sum.late, sum.refused
         );
     }
-    let mean = measures.iter().map(Measure::served).sum::<f64>() / measures.len().max(1) as f64;
+    let mean = measures.iter().map(Measure::served_share).sum::<f64>() / measures.len().max(1) as f64;
     text + &format!("mean share of value served: {mean:.3} over {} seeds\n", measures.len())
 }
--- a/crates/emul/tests/rules.rs
+++ b/crates/emul/tests/rules.rs
@@ -35,5 +35,5 @@
 fn run_repeats_with_its_seed() {
     let (first, second) = (run(&setup("hpms", 3, 1.0, 20.0)), run(&setup("hpms", 3, 1.0, 20.0)));
     assert_eq!(first.starts, second.starts);
-    assert_eq!(first.measure.served().to_bits(), second.measure.served().to_bits());
+    assert_eq!(first.measure.served_share().to_bits(), second.measure.served_share().to_bits());
 }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -186,7 +186,7 @@
         let jobs = |names: &BTreeSet<String>| {
             names.iter().filter_map(|name| self.jobs.get(name)).collect::<Vec<_>>()
         };
-        let encoded = jobs(&submitted).into_iter().map(record::submitted);
+        let encoded = jobs(&submitted).into_iter().map(record::submission);
         let encoded = encoded.chain(jobs(&changed).into_iter().map(record::progress)).collect::<Vec<_>>();
         for record in encoded {
             match record {
@@ -387,7 +387,7 @@
         for name in old.into_iter().filter(|name| !self.live.contains(name)) {
             self.jobs.remove(&name);
             self.changed_jobs.remove(&name);
-            self.removals.extend(record::dropped(&name));
+            self.removals.extend(record::deletions(&name));
         }
     }
 
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -51,7 +51,7 @@
 /// # Errors
 ///
 /// Returns an error if the submission can't be serialized.
-pub fn submitted(job: &Job) -> Result<Record> {
+pub fn submission(job: &Job) -> Result<Record> {
     let value = Submitted { sub: job.sub.clone(), accepted_ms: job.accepted_ms };
     Ok(Record { key: format!("{SUBMISSION_PREFIX}{}", job.sub.job), value: serde_json::to_vec(&value)? })
 }
@@ -75,7 +75,7 @@
 }
 
 /// Returns the records that delete a job from the store.
-pub fn dropped(job: &str) -> [Record; 2] {
+pub fn deletions(job: &str) -> [Record; 2] {
     [SUBMISSION_PREFIX, PROGRESS_PREFIX]
         .map(|prefix| Record { key: format!("{prefix}{job}"), value: Vec::new() })
 }
--- a/crates/fleet/tests/records.rs
+++ b/crates/fleet/tests/records.rs
@@ -13,7 +13,7 @@
 }
 
 fn read_back(job: &sorrelland_fleet::Job) -> sorrelland_fleet::Job {
-    let records = [record::submitted(job).unwrap(), record::progress(job).unwrap()];
+    let records = [record::submission(job).unwrap(), record::progress(job).unwrap()];
     let rows: Vec<(&str, &[u8])> = records.iter().map(|r| (r.key.as_str(), r.value.as_slice())).collect();
     let (jobs, unreadable) = record::read(rows.into_iter());
     assert!(unreadable.is_empty(), "{unreadable:?}");
