--- a/crates/conf/src/reader.rs
+++ b/crates/conf/src/reader.rs
@@ -11,7 +11,7 @@
 /// Jaro-Winkler similarity from which a known name is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.7;
 
-/// Reads values. A problem becomes a finding and the reading goes on with a default value, so that all problems are
+/// Reads values. A problem becomes a finding and reading continues with a default value, so that all problems are
 /// reported together.
 #[derive(Debug)]
 pub struct Reader {
@@ -20,7 +20,7 @@
     values: BTreeMap<(String, String), (String, usize)>,
     /// Line by section.
     sections: BTreeMap<String, usize>,
-    /// Sections and keys that were asked for.
+    /// Sections and keys that were read.
     known_keys: BTreeSet<(String, String)>,
     /// Sections whose keys may have any name.
     free_sections: BTreeSet<String>,
@@ -155,7 +155,7 @@
         rows.map(|((_, key), (value, _))| (key.clone(), value.clone())).collect()
     }
 
-    /// Ends the reading and reports the keys and sections that were not asked for.
+    /// Ends the reading and reports the keys and sections that were not read.
     ///
     /// # Errors
     ///
--- a/crates/control/src/active_planner.rs
+++ b/crates/control/src/active_planner.rs
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Sends approval requests one at a time, since the policy service answers them one at a time anyway.
+    /// Sends approval requests one at a time, as the policy service processes them.
     async fn run_approval_requests(self: Arc<Self>, policy: PolicyClient) {
         while !self.has_stepped_down() {
             let approval_request = lock(&self.planner).next_approval_request(now_ms());
--- a/crates/control/src/callers.rs
+++ b/crates/control/src/callers.rs
@@ -203,7 +203,7 @@
     Response::new(status).json(&json!({"error": why}))
 }
 
-/// Answers a caller whose request got no usable reply: with 503 only if certainly nothing was done.
+/// Answers a caller whose request got no usable reply: with 503 only if the request was certainly not carried out.
 fn unanswered(operation: &str, name: &str, result: &RequestResult) -> Response {
     log::warn!("event=unanswered what={operation} job={name} asked={result:?}");
     match result {
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -44,7 +44,7 @@
 /// Time between two pings to the leader.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Delay after a failed ping to the leader: a second attempt tells a lost connection from a lost process.
+/// Delay after a failed ping to the leader: a second attempt distinguishes a lost connection from a lost process.
 const PING_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -55,7 +55,7 @@
         registry,
         _provider: provider,
     };
-    // A second call is a bug of the caller; the first instruments stay.
+    // A second call is a bug in the caller; the instruments of the first call stay in use.
     let _ = METRICS.set(metrics);
     let server = serve::start(address, handler)?;
     tokio::spawn(async move {
--- a/crates/control/tests/lease.rs
+++ b/crates/control/tests/lease.rs
@@ -1,4 +1,4 @@
-//! An agent's state of its worker, without a network.
+//! Tests an agent's state of its worker, without a network.
 
 use sorrelland_control::lease::WorkerState;
 use sorrelland_fleet::Task;
--- a/crates/control/tests/patience.rs
+++ b/crates/control/tests/patience.rs
@@ -1,4 +1,4 @@
-//! Adaptive time-out of calls to the store.
+//! Tests the adaptive time-out of calls to the store.
 
 use std::time::Duration;
 
--- a/crates/control/tests/seat.rs
+++ b/crates/control/tests/seat.rs
@@ -1,4 +1,4 @@
-//! The planner's leadership over a stand-in of the store.
+//! Tests the planner's leadership against a stand-in of the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/core/src/eject.rs
+++ b/crates/core/src/eject.rs
@@ -36,7 +36,7 @@
         Self::default()
     }
 
-    /// Records a success, which resets the consecutive failures and takes back one doubling.
+    /// Records a success, which resets the consecutive failures and undoes one doubling of the ejection.
     pub fn record_success(&mut self, worker: &WorkerId) {
         if let Some(record) = self.records.get_mut(worker) {
             record.failures = 0;
--- a/crates/core/src/reclaim.rs
+++ b/crates/core/src/reclaim.rs
@@ -38,7 +38,7 @@
     /// Charges `shares` to the backing of their accounts.
     ///
     /// Non-preemptible work uses its account's backing first, and in part if it holds more, since nothing
-    /// else may use that backing meanwhile. Preemptible work follows, oldest first, and is covered by its
+    /// else may use that backing in the meantime. Preemptible work follows, oldest first, and is covered by its
     /// account's backing in full or not at all.
     pub fn new(backing: BTreeMap<AccountId, Amount>, shares: &[Share]) -> Self {
         let mut backing_use = Self { backing, ..Self::default() };
--- a/crates/core/src/tick.rs
+++ b/crates/core/src/tick.rs
@@ -129,7 +129,7 @@
         self.claims
             .retain(|job, claim| waits(job) && now_ms <= claim.until_ms && claim.placement.keys().all(ready));
         for claim in self.claims.values_mut() {
-            // A victim that stopped and runs again later must not hold up the claim.
+            // A victim that stopped and runs again later must not delay the claim.
             claim.waits_for.retain(|victim| tables.running.contains_key(victim));
         }
         self.reservations.retain(|job, reservation| waits(job) && reservation.workers.iter().all(ready));
@@ -197,7 +197,7 @@
     /// Finds free resources: the best fit on any worker, or within the account's own backing.
     ///
     /// Preemptible work does not prefer its own backing: that would fragment whole racks that others may
-    /// borrow, and running elsewhere costs it nothing until another account reclaims its guarantee.
+    /// borrow, and running elsewhere has no cost until another account reclaims its guarantee.
     fn find_free(
         &self,
         pass: &Pass<'_>,
@@ -260,7 +260,7 @@
 
     /// Reserves workers for an aged job.
     ///
-    /// The choice is kept from tick to tick: if it changed, the job might never see all of its workers free.
+    /// The choice is kept from tick to tick: if it changed, the reserved workers might never be free together.
     fn reserve(&mut self, pass: &Pass<'_>, job: &JobId, waiting: &Waiting) {
         let waited_ms = pass.now_ms.saturating_sub(waiting.since_ms);
         if waited_ms < self.policy.reserve_after_ms {
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -291,7 +291,7 @@
             }
             tokio::time::sleep(COMMIT_POLL_INTERVAL).await;
         }
-        // The gang may have been committed meanwhile: watching it shows its state.
+        // The gang may have been committed meanwhile: polling it shows its state.
         true
     }
 
@@ -449,7 +449,7 @@
         match end {
             End::Done => gang.members.iter().for_each(|member| fleet.record_outcome(&member.worker, true)),
             End::Failed(reason) => {
-                // The reason names the worker that failed; the others are not at fault.
+                // The reason names the worker that failed; the others did not cause the failure.
                 let failed = gang.members.iter().filter(|m| reason.contains(m.worker.as_str()));
                 failed.for_each(|member| fleet.record_outcome(&member.worker, false));
             }
--- a/crates/daemon/src/entry/follow.rs
+++ b/crates/daemon/src/entry/follow.rs
@@ -144,7 +144,7 @@
 
 /// Applies the records of a page to the fold.
 ///
-/// A record that cannot be parsed is skipped; every reader does so, hence all folds stay equal.
+/// A record that cannot be parsed is skipped; every reader skips it, so that all folds stay equal.
 fn fold_page(fold: &mut Fold, page: &Page) {
     for raw in &page.records {
         match serde_json::from_value::<Record>(raw.record.clone()) {
--- a/crates/daemon/src/entry/short.rs
+++ b/crates/daemon/src/entry/short.rs
@@ -134,7 +134,7 @@
                 }
             }
         }
-        // Another entry may have sent the request even if this one did not: only the home knows.
+        // Another entry may have sent the request even if this one did not: only the home has a record of it.
         Outcome::Unknown { reason: "the key's home does not answer".to_owned() }
     }
 
@@ -183,7 +183,7 @@
         true
     }
 
-    /// Returns an agent that was not tried and can answer in time, or the refusal.
+    /// Returns an agent that was not tried yet and can answer in time, or the refusal.
     fn choose_agent(&self, call: &Call<'_>, tried: &[WorkerId]) -> Result<(WorkerId, String), Outcome> {
         let fleet = lock(&self.fleet);
         let (workers, candidates): (Vec<_>, Vec<_>) = fleet.candidates(tried).into_iter().unzip();
--- a/crates/daemon/src/entry/write.rs
+++ b/crates/daemon/src/entry/write.rs
@@ -113,7 +113,7 @@
             Err(e) => Err(e),
         };
         for write in batch {
-            // Sending fails if the caller no longer waits; the record was appended all the same.
+            // Sending fails if the caller no longer waits; the record is appended nonetheless.
             let _ = write.result_tx.send(result.clone());
         }
     }
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -3,7 +3,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// Flag that asks tasks to stop; clones share it, and it is never lowered.
+/// Flag that asks tasks to stop; clones share it, and it is never cleared.
 #[derive(Clone, Debug)]
 pub struct Stop {
     tx: watch::Sender<bool>,
@@ -43,7 +43,7 @@
     /// Waits until the flag is raised.
     pub async fn raised(&self) {
         let mut rx = self.tx.subscribe();
-        // The channel cannot close meanwhile, since `self` holds its sender.
+        // The channel cannot close during the wait, since `self` holds its sender.
         let _ = rx.wait_for(|raised| *raised).await;
     }
 }
--- a/crates/fleet/src/admit.rs
+++ b/crates/fleet/src/admit.rs
@@ -1,7 +1,7 @@
 //! Admission control: refuses jobs on arrival and tells their callers when to retry.
 //!
 //! Under overload a job that cannot end while its result has a value is refused when it arrives, so that the caller can
-//! turn elsewhere, and resources go to jobs that can be served.
+//! go elsewhere, and resources go to jobs that can be served.
 
 use crate::job::{Job, Submission};
 use crate::place::peak_accelerators;
--- a/crates/fleet/src/assignments.rs
+++ b/crates/fleet/src/assignments.rs
@@ -4,7 +4,7 @@
 
 use crate::task::Task;
 
-/// Complete assignments of one worker. Every reply carries all of them, so a lost reply loses nothing.
+/// Complete assignments of one worker. Every reply carries all of them, so the next reply makes up for a lost one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Assignments {
     /// Incarnation of the worker that the assignments apply to.
--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -189,7 +189,7 @@
         assigned = assign_members(&free_without(&chosen), step);
     }
     let mut incarnations = assigned?;
-    // Spares the victims that turn out not to be needed, the most expensive first.
+    // Drops the victims that are not needed, the most expensive first.
     let mut by_cost = chosen.clone();
     by_cost.sort_by(|one, other| victims[*other].stop_cost.total_cmp(&victims[*one].stop_cost));
     for index in by_cost {
--- a/crates/fleet/src/value.rs
+++ b/crates/fleet/src/value.rs
@@ -143,7 +143,7 @@
     /// value that the job may lose by the delay.
     pub fn stop_cost(&self, now: u64, wall: u64, job: &Job, key: UnitKey, unit: &Unit) -> f64 {
         if unit.state == UnitState::Ending {
-            // It is being stopped anyway.
+            // It is being stopped already.
             return 0.0;
         }
         let Some(step) = job.sub.steps.get(key.step as usize) else { return 0.0 };
@@ -163,7 +163,7 @@
         let value = self.mean_work(&job.sub.queue).value(queue.priority, work);
         let latest_starts = LatestStarts::new(job, queue, key);
         let saved_ms = if step.saves_progress { ran_ms } else { 0 };
-        // If it goes on, it started when it was placed; if it is stopped, it starts again after `RESTART_DELAY_MS`.
+        // If it continues, it started when it was placed; if it is stopped, it starts again after `RESTART_DELAY_MS`.
         let value_if_kept = attainable_value(value, latest_starts.timeliness(wall.saturating_sub(ran_ms)));
         let value_if_stopped = attainable_value(
             value,
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -108,7 +108,7 @@
         self
     }
 
-    /// Sets the time-out of a whole response; that of a connection stays.
+    /// Sets the time-out of a whole response; that of a connection is unchanged.
     pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
