--- a/crates/core/src/pass.rs
+++ b/crates/core/src/pass.rs
@@ -389,14 +389,13 @@
             Cause::Urgent => share.class < Class::Urgent,
             Cause::Aged => {
                 let running = self.tables.running.get(&share.job);
-                share.class < Class::Urgent
-                    && running.is_some_and(|running| self.may_preempt(waiting, running))
+                share.class < Class::Urgent && running.is_some_and(|running| self.precedes(waiting, running))
             }
         }
     }
 
     /// Returns whether an aged job may preempt a running gang; a strict order, so preemptions form no cycle.
-    fn may_preempt(&self, waiting: &Waiting, running: &Running) -> bool {
+    fn precedes(&self, waiting: &Waiting, running: &Running) -> bool {
         let width = |shape: &Shape| if self.policy.wide_first { shape.total().accelerators } else { 0 };
         let (own_width, other_width) = (width(&waiting.demand.shape), width(&running.demand.shape));
         own_width > other_width || (own_width == other_width && waiting.since_ms < running.since_ms)
