--- a/crates/daemon/src/agent/heartbeat.rs
+++ b/crates/daemon/src/agent/heartbeat.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, Default)]
 struct Row {
     /// Whether the address is in the settings.
-    configured: bool,
+    in_settings: bool,
     due_ms: Millis,
     /// Number of the report that the entry has acknowledged.
     acknowledged: u64,
@@ -43,7 +43,7 @@
 impl HeartbeatTable {
     /// Creates a table with the entries' addresses from the settings.
     pub fn new(addresses: &[SocketAddr]) -> Self {
-        let row = |addr: &SocketAddr| (addr.to_string(), Row { configured: true, ..Row::default() });
+        let row = |addr: &SocketAddr| (addr.to_string(), Row { in_settings: true, ..Row::default() });
         Self { rows: addresses.iter().map(row).collect() }
     }
 
@@ -78,7 +78,7 @@
         row.unanswered += 1;
         row.acknowledged = 0;
         row.due_ms = now_ms + RETRY_DELAY_MS;
-        if !row.configured && row.unanswered >= MAX_UNANSWERED_HEARTBEATS {
+        if !row.in_settings && row.unanswered >= MAX_UNANSWERED_HEARTBEATS {
             self.rows.remove(address);
         }
     }
--- a/crates/daemon/src/entry/fleet.rs
+++ b/crates/daemon/src/entry/fleet.rs
@@ -121,7 +121,7 @@
     }
 
     /// Records the configuration that a worker's agent acknowledged.
-    pub fn record_configured(&mut self, worker: &WorkerId, offset: u64) {
+    pub fn record_config_offset(&mut self, worker: &WorkerId, offset: u64) {
         if let Some(row) = self.rows.get_mut(worker) {
             row.config_offset = row.config_offset.max(offset);
         }
--- a/crates/daemon/src/entry/service.rs
+++ b/crates/daemon/src/entry/service.rs
@@ -118,7 +118,7 @@
             agent.configure(call_context(CONFIGURE_TIMEOUT), config).await
         });
         match call.await {
-            Ok(offset) => lock(&self.fleet).record_configured(worker, offset),
+            Ok(offset) => lock(&self.fleet).record_config_offset(worker, offset),
             Err(e) => log::debug!(
                 "configuration not pushed to agent at {address}; its next heartbeat fetches it: {e}"
             ),
--- a/crates/fleet/src/place.rs
+++ b/crates/fleet/src/place.rs
@@ -379,8 +379,8 @@
     order.sort_by_key(|(worker, free)| (free.accelerators, free.millicores, worker.info.incarnation.clone()));
     let mut incarnations = Vec::new();
     for (worker, free) in order {
-        let wanted = i64::from(step.count) - incarnations.len() as i64;
-        let copies = free.copies_of(&need).min(max_per_worker).min(wanted);
+        let missing = i64::from(step.count) - incarnations.len() as i64;
+        let copies = free.copies_of(&need).min(max_per_worker).min(missing);
         incarnations.extend((0..copies).map(|_| worker.info.incarnation.clone()));
     }
     (incarnations.len() == step.count as usize).then_some(incarnations)
