--- a/crates/daemon/src/agent/heartbeat.rs
+++ b/crates/daemon/src/agent/heartbeat.rs
@@ -21,12 +21,12 @@
 const RETRY_DELAY_MS: Millis = 500;
 
 /// Consecutive heartbeats without a reply after which an entry that is not in the settings is removed.
-const MAX_UNANSWERED: u32 = 40;
+const MAX_UNANSWERED_HEARTBEATS: u32 = 40;
 
 #[derive(Clone, Debug, Default)]
 struct Row {
     /// Whether the address is in the settings.
-    configured: bool,
+    in_settings: bool,
     due_ms: Millis,
     /// Number of the report that the entry has acknowledged.
     acknowledged: u64,
@@ -43,7 +43,7 @@
 impl HeartbeatTable {
     /// Creates a table with the entries' addresses from the settings.
     pub fn new(addresses: &[SocketAddr]) -> Self {
-        let row = |addr: &SocketAddr| (addr.to_string(), Row { configured: true, ..Row::default() });
+        let row = |addr: &SocketAddr| (addr.to_string(), Row { in_settings: true, ..Row::default() });
         Self { rows: addresses.iter().map(row).collect() }
     }
 
@@ -78,7 +78,7 @@
         row.unanswered += 1;
         row.acknowledged = 0;
         row.due_ms = now_ms + RETRY_DELAY_MS;
-        if !row.configured && row.unanswered >= MAX_UNANSWERED {
+        if !row.in_settings && row.unanswered >= MAX_UNANSWERED_HEARTBEATS {
             self.rows.remove(address);
         }
     }
@@ -154,7 +154,7 @@
             report_number: authority.report_number,
             in_flight: self.short_requests.in_flight(),
             service_us: self.short_requests.service_us(),
-            offset: authority.config.as_ref().map_or(0, |config| config.offset),
+            config_offset: authority.config.as_ref().map_or(0, |config| config.offset),
             report,
         }
     }
--- a/crates/daemon/src/entry/fleet.rs
+++ b/crates/daemon/src/entry/fleet.rs
@@ -111,14 +111,17 @@
         };
         row.reported_in_flight = heartbeat.in_flight;
         row.service_us = heartbeat.service_us;
-        row.config_offset =
-            if same_incarnation { row.config_offset.max(heartbeat.offset) } else { heartbeat.offset };
+        row.config_offset = if same_incarnation {
+            row.config_offset.max(heartbeat.config_offset)
+        } else {
+            heartbeat.config_offset
+        };
         row.last_heartbeat = now;
         row.report_number
     }
 
     /// Records the configuration that a worker's agent acknowledged.
-    pub fn record_configured(&mut self, worker: &WorkerId, offset: u64) {
+    pub fn record_config_offset(&mut self, worker: &WorkerId, offset: u64) {
         if let Some(row) = self.rows.get_mut(worker) {
             row.config_offset = row.config_offset.max(offset);
         }
--- a/crates/fleet/src/place.rs
+++ b/crates/fleet/src/place.rs
@@ -332,12 +332,12 @@
 /// Returns a sort key: the resources that would remain free, accelerators first. The tightest fit leaves whole workers
 /// free; a step without accelerators prefers workers that are in use.
 fn fit_order(free: &Resources, need: &Resources, worker: &Worker) -> (i64, i64) {
-    let mut rest = *free;
-    rest -= *need;
+    let mut remaining = *free;
+    remaining -= *need;
     let idle = i64::from(worker.used == Resources::default());
     match need.accelerators {
-        0 => (rest.accelerators + idle, rest.millicores),
-        _ => (rest.accelerators, rest.millicores),
+        0 => (remaining.accelerators + idle, remaining.millicores),
+        _ => (remaining.accelerators, remaining.millicores),
     }
 }
 
@@ -379,8 +379,8 @@
     order.sort_by_key(|(worker, free)| (free.accelerators, free.millicores, worker.info.incarnation.clone()));
     let mut incarnations = Vec::new();
     for (worker, free) in order {
-        let wanted = i64::from(step.count) - incarnations.len() as i64;
-        let copies = free.copies_of(&need).min(max_per_worker).min(wanted);
+        let missing = i64::from(step.count) - incarnations.len() as i64;
+        let copies = free.copies_of(&need).min(max_per_worker).min(missing);
         incarnations.extend((0..copies).map(|_| worker.info.incarnation.clone()));
     }
     (incarnations.len() == step.count as usize).then_some(incarnations)
