--- a/crates/control/src/agent.rs
+++ b/crates/control/src/agent.rs
@@ -337,7 +337,7 @@
                 );
                 let mut state = lock(&self.worker_state);
                 state.record_stop_answer(incarnation, stop, now_ms());
-                state.expect_absence(incarnation, task, run, "stopped before it started");
+                state.expect_absence(incarnation, task, run, "stopped before it was there");
                 true
             }
             Err(e) => {
--- a/crates/control/src/callers.rs
+++ b/crates/control/src/callers.rs
@@ -65,14 +65,14 @@
         let job = &http_request.path[queue.path_prefix.len()..];
         match (&http_request.method, job) {
             (&Method::GET, "") => self.pending(queue, http_request).await,
-            (_, "") => refuse(StatusCode::METHOD_NOT_ALLOWED, "job name required"),
+            (_, "") => refuse(StatusCode::METHOD_NOT_ALLOWED, "a job's name is needed"),
             (_, job) if !is_job_name(job) => {
-                refuse(StatusCode::BAD_REQUEST, "job name must have 16 hexadecimal digits")
+                refuse(StatusCode::BAD_REQUEST, "a job's name has 16 hexadecimal digits")
             }
             (&Method::POST, job) => self.submit(queue, &account, job, http_request).await,
             (&Method::GET, job) => self.state(job, http_request).await,
             (&Method::DELETE, job) => self.cancel(job, http_request).await,
-            _ => refuse(StatusCode::METHOD_NOT_ALLOWED, "method not allowed"),
+            _ => refuse(StatusCode::METHOD_NOT_ALLOWED, "not possible here"),
         }
     }
 
@@ -207,8 +207,8 @@
 fn unanswered(operation: &str, name: &str, result: &RequestResult) -> Response {
     log::warn!("event=unanswered what={operation} job={name} asked={result:?}");
     match result {
-        RequestResult::NeverSent => refuse(StatusCode::SERVICE_UNAVAILABLE, "no planner reachable")
+        RequestResult::NeverSent => refuse(StatusCode::SERVICE_UNAVAILABLE, "no planner is in reach")
             .with_retry_after_ms(TAKEOVER_RETRY_AFTER_MS),
-        _ => refuse(StatusCode::GATEWAY_TIMEOUT, "outcome not known yet; retry with the same job name"),
+        _ => refuse(StatusCode::GATEWAY_TIMEOUT, "not known yet; ask again with the same name"),
     }
 }
--- a/crates/daemon/src/agent/short.rs
+++ b/crates/daemon/src/agent/short.rs
@@ -145,9 +145,7 @@
             }
             let remaining = deadline.saturating_duration_since(Instant::now());
             if tokio::time::timeout(remaining, ended).await.is_err() {
-                return Outcome::Unknown {
-                    reason: "an earlier request with this key is still running".to_owned(),
-                };
+                return Outcome::Unknown { reason: "an earlier request with this key still runs".to_owned() };
             }
         }
     }
@@ -196,9 +194,7 @@
                 let identity = serde_json::from_slice::<Identity>(&reply.body).ok();
                 if reply.status.is_success() && identity.is_none_or(|i| i.request != exec.request) {
                     self.metrics.count_mismatched();
-                    return Outcome::Unknown {
-                        reason: "the upstream's response is for another request".to_owned(),
-                    };
+                    return Outcome::Unknown { reason: "the upstream answered another request".to_owned() };
                 }
                 Outcome::Done { status, body: reply.body.to_vec() }
             }
@@ -215,7 +211,7 @@
         KeyStatus::Running => Some(Err(())),
         KeyStatus::Ended(outcome) => Some(Ok(outcome)),
         KeyStatus::Unknown => {
-            Some(Ok(Outcome::Unknown { reason: "the key's home has no record of it".to_owned() }))
+            Some(Ok(Outcome::Unknown { reason: "the key's home does not remember it".to_owned() }))
         }
         KeyStatus::Full => Some(Ok(Outcome::NotRun { reason: NotRun::Busy, retry_ms: RETRY_MS })),
     }
--- a/crates/daemon/src/entry/api.rs
+++ b/crates/daemon/src/entry/api.rs
@@ -58,13 +58,13 @@
         let open = Self(entry);
         let already_open = entry.open_requests.fetch_add(1, Ordering::Relaxed);
         if entry.stop.is_raised() {
-            return refuse("draining", "this entry is stopping; send the request to another one");
+            return refuse("draining", "this entry stops; another one takes the request");
         }
         if already_open as usize >= entry.settings.entry.connection_limit {
-            return refuse("busy", "this entry has too many open requests");
+            return refuse("busy", "this entry has too many requests open");
         }
         if entry.with_fold(|_| ()).is_none() {
-            return refuse("no_configuration", "this entry has no configuration yet");
+            return refuse("no_configuration", "this entry knows no configuration yet");
         }
         Ok(open)
     }
@@ -121,7 +121,7 @@
         },
         None if body.idempotent => Ok(None),
         None => {
-            let message = "a request that is not idempotent needs a key: get one with POST /v1/keys";
+            let message = "a request that is not idempotent needs a key: take one with POST /v1/keys";
             Err(ApiError::new(428, "key_required", message))
         }
     }
@@ -131,8 +131,7 @@
 pub(super) fn checked_name<'a>(what: &str, name: &'a str) -> Result<&'a str> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
     if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(allowed) {
-        let message =
-            format!("{what} must be 1 to {MAX_NAME_LENGTH} characters of letters, digits, '.', '_' and '-'");
+        let message = format!("{what} must be 1 to {MAX_NAME_LENGTH} of letters, digits, '.', '_' and '-'");
         return Err(ApiError::new(400, "bad_name", message));
     }
     Ok(name)
@@ -180,7 +179,7 @@
 /// Returns the state of a job that exists under the submitted name, or 409 if its specification differs.
 fn existing_job(entry: &Entry, name: &str, spec: &JobSpec, known: &Job) -> Result<Response<Body>> {
     if known.spec != *spec {
-        let message = format!("job {name} was submitted before with different contents");
+        let message = format!("job {name} was submitted before with other contents");
         return Err(ApiError::new(409, "job_differs", message));
     }
     respond(StatusCode::OK, None, &job_answer(entry, name, known))
@@ -260,7 +259,7 @@
     fn admit(&self, demand: &Demand) -> Result<()> {
         let mut tables = self.tables(unix_ms());
         if tables.workers.is_empty() {
-            let error = ApiError::new(503, "no_upstream", "no worker has reported yet");
+            let error = ApiError::new(503, "no_upstream", "no worker is known yet");
             return Err(error.with_retry_after_ms(RETRY_MS));
         }
         self.with_fold(|fold| {
@@ -302,7 +301,7 @@
                 respond(StatusCode::ACCEPTED, None, &job_answer(self, name, &known))
             }
             Some(_) => {
-                Err(ApiError::new(409, "job_differs", format!("job {name} exists with different contents")))
+                Err(ApiError::new(409, "job_differs", format!("job {name} exists with other contents")))
             }
             None => Err(write_error(write::Error::Unknown)),
         }
@@ -322,7 +321,7 @@
                 Ok(Ok(outcome)) => break outcome,
                 Ok(Err(_)) => break JobOutcome::Unknown { reason: "the attempt was lost".to_owned() },
                 Err(_) if Instant::now() >= start_by && self.withdraw(&id) => {
-                    let reason = format!("no free capacity within {} ms", body.start_within_ms);
+                    let reason = format!("no room within {} ms", body.start_within_ms);
                     break JobOutcome::NotRun { reason };
                 }
                 Err(_) => {}
--- a/crates/daemon/src/entry/operator.rs
+++ b/crates/daemon/src/entry/operator.rs
@@ -143,9 +143,7 @@
         plan_version: fold.plan_version,
         plan: fold.plan.clone(),
     });
-    answer
-        .map(HttpResponseOk)
-        .ok_or_else(|| ApiError::new(503, "no_configuration", "this entry has no configuration yet"))
+    answer.map(HttpResponseOk).ok_or_else(|| ApiError::new(503, "no_configuration", "none is known yet"))
 }
 
 /// Returns the workers.
@@ -287,7 +285,7 @@
             .sum();
         let shapes: Vec<String> = unbacked.iter().map(Shape::to_string).collect();
         let message = format!(
-            "the fleet cannot back {}: it has {total} accelerators, {guaranteed} are guaranteed to other accounts and {} are requested",
+            "the fleet cannot back {}: it has {total} accelerators, {guaranteed} are promised to others and {} are asked for",
             shapes.join(", "),
             config.guaranteed().accelerators,
         );
--- a/crates/daemon/src/entry/short.rs
+++ b/crates/daemon/src/entry/short.rs
@@ -230,7 +230,7 @@
             Ok(reply) => {
                 self.metrics.count_mismatched();
                 log::error!(request = call.request; "agent answered a different request: {}", reply.request);
-                Attempt::Unresolved("the agent answered a different request".to_owned())
+                Attempt::Unresolved("the answer was another request's".to_owned())
             }
             Err(CallError::Connect(e)) => {
                 log::debug!(request = call.request; "request was not sent: {e}");
--- a/crates/daemon/src/entry/write.rs
+++ b/crates/daemon/src/entry/write.rs
@@ -25,10 +25,10 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
     /// Nothing was appended.
-    #[display("log unreachable: nothing was recorded")]
+    #[display("the log was not reached: nothing was recorded")]
     NotWritten,
     /// The append may have taken effect.
-    #[display("log did not confirm the append: it is not known yet whether the record was written")]
+    #[display("the log gave no answer: it is not known yet whether the record stands")]
     Unknown,
 }
 
--- a/crates/emul/src/cluster.rs
+++ b/crates/emul/src/cluster.rs
@@ -188,7 +188,7 @@
                     run.stop_at_ms.get_or_insert(now_ms + self.stop_ms);
                 }
                 None if !node.ended.iter().any(|end| end.task == stop.task && end.run == stop.run) => {
-                    node.rejected.insert(key, "stopped before it started".to_owned());
+                    node.rejected.insert(key, "stopped before it was there".to_owned());
                 }
                 None => (),
             }
--- a/crates/fleet/src/admit.rs
+++ b/crates/fleet/src/admit.rs
@@ -149,7 +149,6 @@
         return Ok(());
     }
     let excess_ms = (wait_ms + duration_ms - no_value_after_ms).clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
-    let reason =
-        format!("{wait_ms} ms of work is queued ahead, the result has no value after {no_value_after_ms} ms");
+    let reason = format!("{wait_ms} ms of work ahead, worthless after {no_value_after_ms} ms");
     Err(Refusal { reason, retry_after_ms: excess_ms })
 }
--- a/crates/lease/src/key.rs
+++ b/crates/lease/src/key.rs
@@ -39,7 +39,7 @@
 
 /// The text does not have the form of a key.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("not a valid idempotency key; request one with POST /v1/keys")]
+#[display("not a key of this system; take one with POST /v1/keys")]
 pub struct InvalidKey;
 
 impl FromStr for Key {
--- a/crates/lease/src/member.rs
+++ b/crates/lease/src/member.rs
@@ -16,22 +16,22 @@
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
     /// The epoch is fenced: it is at or below the greatest fenced epoch of the job.
-    #[display("epoch is fenced; the minimum allowed epoch is {least}")]
+    #[display("epoch is fenced; the least that may run is {least}")]
     Fenced {
         /// Smallest epoch that is not fenced.
         least: Epoch,
     },
     /// The member holds another epoch of the job.
-    #[display("the job is held by another epoch, {held}")]
+    #[display("another epoch, {held}, holds the job")]
     OtherEpoch {
         /// Epoch of the existing hold.
         held: Epoch,
     },
     /// The member has no hold for the job.
-    #[display("no hold for the job")]
+    #[display("nothing is held for the job")]
     NotHeld,
     /// The lease has expired.
-    #[display("the lease has expired")]
+    #[display("the lease has ended")]
     Lapsed,
 }
 
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -39,7 +39,7 @@
             Some(("account", name)) => Ok(Self::Account(name.into())),
             Some(("worker", name)) => Ok(Self::Worker(name.into())),
             Some(("job", name)) => Ok(Self::Job(name.into())),
-            _ => Err(format!("subject {text:?} must be account:NAME, worker:NAME or job:NAME")),
+            _ => Err(format!("subject {text:?} is not account:, worker: or job: and a name")),
         }
     }
 }
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -67,7 +67,7 @@
 async fn reject_method<C: ServerContext>(
     cx: RequestContext<C>,
 ) -> std::result::Result<dropshot::HttpResponseOk<()>, ApiError> {
-    let message = format!("method {} is not allowed on this path", cx.request.method());
+    let message = format!("{} is not possible here", cx.request.method());
     Err(ApiError::new(405, "method_not_allowed", message))
 }
 
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -188,6 +188,6 @@
     #[display("cannot connect: {_0}")]
     Connect(io::Error),
     /// The call may have been delivered.
-    #[display("call failed: {_0}")]
+    #[display("call broke: {_0}")]
     Rpc(RpcError),
 }
