--- a/crates/control/src/active_planner.rs
+++ b/crates/control/src/active_planner.rs
@@ -281,9 +281,9 @@
             true
         };
         tokio::select! {
-        done = stored => done,
-        _ = stepped_down.wait_for(|stepped_down| *stepped_down) => false,
-        () = tokio::time::sleep(wait) => false,
+            done = stored => done,
+            _ = stepped_down.wait_for(|stepped_down| *stepped_down) => false,
+            () = tokio::time::sleep(wait) => false,
         }
     }
 
@@ -303,7 +303,7 @@
                         let Self { leader, .. } = self;
                         log::info!(
                             "event=refused job={} queue={} account={} epoch={} retry_after_ms={retry_after_ms} \
-why=\"{why}\"",
+                             why=\"{why}\"",
                             sub.job,
                             sub.queue,
                             sub.account,
--- a/crates/control/src/agent.rs
+++ b/crates/control/src/agent.rs
@@ -162,15 +162,15 @@
             loop {
                 let may_send = in_flight.len() < MAX_CONCURRENT_REPORTS;
                 tokio::select! {
-                Some(result) = in_flight.join_next() => {
-                if let Err(e) = result {
-                log::error!("event=report_task_failed cause=\"{e}\"");
-                }
-                if in_flight.is_empty() {
-                break;
-                }
-                }
-                () = self.report_due.notified(), if may_send => break,
+                    Some(result) = in_flight.join_next() => {
+                        if let Err(e) = result {
+                            log::error!("event=report_task_failed cause=\"{e}\"");
+                        }
+                        if in_flight.is_empty() {
+                            break;
+                        }
+                    }
+                    () = self.report_due.notified(), if may_send => break,
                 }
             }
         }
@@ -393,9 +393,9 @@
             };
             let wait = if checks_absence { Duration::ZERO } else { MAX_POLL_WAIT };
             let answered = tokio::select! {
-            answered = self.poll_worker(&incarnation, wait) => answered,
-            // A change that the poll in flight can't show.
-            () = self.poll_due.notified() => true,
+                answered = self.poll_worker(&incarnation, wait) => answered,
+                // A change that the poll in flight can't show.
+                () = self.poll_due.notified() => true,
             };
             if lock(&self.worker_state).has_unacknowledged_ends() {
                 // A poll would return at once until the planner has stored the ends.
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -208,9 +208,9 @@
         let began = now_ms();
         let wait = if leadership.is_refusing() { REFUSING_READ_WAIT } else { READ_WAIT };
         let read = tokio::select! {
-        read = store.read(RENEWALS, from, wait) => read,
-        // The sender exists as long as `leadership`.
-        Ok(()) = leader_changes.changed() => continue,
+            read = store.read(RENEWALS, from, wait) => read,
+            // The sender exists as long as `leadership`.
+            Ok(()) = leader_changes.changed() => continue,
         };
         match read {
             Ok(read) => {
--- a/crates/control/src/entry.rs
+++ b/crates/control/src/entry.rs
@@ -381,8 +381,8 @@
         let newer =
             leader_changes.wait_for(|leader| leader.as_ref().is_some_and(|leader| leader.epoch > epoch));
         let superseded = tokio::select! {
-        superseded = newer => superseded.is_ok(),
-        () = active.wait_for_step_down() => false,
+            superseded = newer => superseded.is_ok(),
+            () = active.wait_for_step_down() => false,
         };
         if superseded {
             active.step_down("superseded");
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -95,17 +95,17 @@
         let row = |job: &Job| {
             let units = |at: UnitState| job.units.values().filter(|unit| unit.state == at).count();
             json!({
-            "job": job.sub.job,
-            "queue": job.sub.queue,
-            "account": job.sub.account,
-            "state": state_name(job),
-            "age_ms": wall.saturating_sub(job.accepted_ms),
-            "target_ms": self.target_ms(job),
-            "waiting": units(UnitState::Waiting),
-            "placed": units(UnitState::Placed),
-            "ending": units(UnitState::Ending),
-            "done": units(UnitState::Done),
-            "fails": job.units.values().map(|unit| unit.failures).sum::<u32>(),
+                "job": job.sub.job,
+                "queue": job.sub.queue,
+                "account": job.sub.account,
+                "state": state_name(job),
+                "age_ms": wall.saturating_sub(job.accepted_ms),
+                "target_ms": self.target_ms(job),
+                "waiting": units(UnitState::Waiting),
+                "placed": units(UnitState::Placed),
+                "ending": units(UnitState::Ending),
+                "done": units(UnitState::Done),
+                "fails": job.units.values().map(|unit| unit.failures).sum::<u32>(),
             })
         };
         let jobs = self.live.iter().filter_map(|name| self.jobs.get(name));
@@ -128,15 +128,15 @@
     fn view_workers(&self, now: u64) -> Value {
         let row = |worker: &Worker| {
             json!({
-            "worker": worker.info.incarnation,
-            "agent": worker.agent,
-            "service": worker.info.service,
-            "rack": worker.rack(),
-            "standing": availability(worker, now),
-            "accelerators": format!("{}/{}", worker.used.accelerators, worker.info.capacity.accelerators),
-            "cores": format!("{}/{}", worker.used.millicores / 1_000, worker.info.capacity.millicores / 1_000),
-            "runs": worker.placed.len(),
-            "heard_ms_ago": now.saturating_sub(worker.last_report_at),
+                "worker": worker.info.incarnation,
+                "agent": worker.agent,
+                "service": worker.info.service,
+                "rack": worker.rack(),
+                "standing": availability(worker, now),
+                "accelerators": format!("{}/{}", worker.used.accelerators, worker.info.capacity.accelerators),
+                "cores": format!("{}/{}", worker.used.millicores / 1_000, worker.info.capacity.millicores / 1_000),
+                "runs": worker.placed.len(),
+                "heard_ms_ago": now.saturating_sub(worker.last_report_at),
             })
         };
         let columns = [
@@ -170,12 +170,12 @@
                 }
             }
             json!({
-            "account": name,
-            "guaranteed": account.guaranteed_accelerators,
-            "urgent": urgent,
-            "accelerators": used,
-            "waiting": waiting,
-            "running": running,
+                "account": name,
+                "guaranteed": account.guaranteed_accelerators,
+                "urgent": urgent,
+                "accelerators": used,
+                "waiting": waiting,
+                "running": running,
             })
         };
         let columns = ["account", "guaranteed", "urgent", "accelerators", "waiting", "running"];
@@ -185,12 +185,12 @@
     fn view_refused(&self, wall: u64) -> Value {
         let row = |refused: &RefusedJob| {
             json!({
-            "ms_ago": wall.saturating_sub(refused.refused_at_ms),
-            "job": refused.job,
-            "queue": refused.queue,
-            "account": refused.account,
-            "retry_after_ms": refused.retry_after_ms,
-            "why": refused.reason,
+                "ms_ago": wall.saturating_sub(refused.refused_at_ms),
+                "job": refused.job,
+                "queue": refused.queue,
+                "account": refused.account,
+                "retry_after_ms": refused.retry_after_ms,
+                "why": refused.reason,
             })
         };
         let columns = ["ms_ago", "job", "queue", "account", "retry_after_ms", "why"];
@@ -215,14 +215,14 @@
         }
         let rows = levels.iter().map(|((account, queue), level)| {
             json!({
-            "account": account,
-            "queue": queue,
-            "ended": level.ended,
-            "in_time": level.in_time,
-            "late": level.ended - level.in_time - level.failed,
-            "failed": level.failed,
-            "refused": level.refused,
-            "burn": level.burn_rate(),
+                "account": account,
+                "queue": queue,
+                "ended": level.ended,
+                "in_time": level.in_time,
+                "late": level.ended - level.in_time - level.failed,
+                "failed": level.failed,
+                "refused": level.refused,
+                "burn": level.burn_rate(),
             })
         });
         let columns = ["account", "queue", "ended", "in_time", "late", "failed", "refused", "burn"];
@@ -257,11 +257,11 @@
         let Some(job) = self.jobs.get(name) else {
             return match self.refusals.iter().rev().find(refused) {
                 Some(refused) => json!({
-                "job": name,
-                "state": "refused",
-                "ms_ago": wall.saturating_sub(refused.refused_at_ms),
-                "why": refused.reason,
-                "retry_after_ms": refused.retry_after_ms,
+                    "job": name,
+                    "state": "refused",
+                    "ms_ago": wall.saturating_sub(refused.refused_at_ms),
+                    "why": refused.reason,
+                    "retry_after_ms": refused.retry_after_ms,
                 }),
                 None => {
                     json!({"job": name, "state": "unknown", "why": "no such job, and no recent refusal of it"})
@@ -274,11 +274,11 @@
             let ahead = waiting_units.iter().position(|c| c.job == name && c.key == *key);
             let candidate = ahead.and_then(|at| waiting_units.get(at));
             json!({
-            "subtask": key.task(name, 0).to_string(),
-            "run": unit.run,
-            "fails": unit.failures,
-            "ahead": ahead,
-            "why": self.explain_unit(now, wall, job, (*key, unit), candidate),
+                "subtask": key.task(name, 0).to_string(),
+                "run": unit.run,
+                "fails": unit.failures,
+                "ahead": ahead,
+                "why": self.explain_unit(now, wall, job, (*key, unit), candidate),
             })
         });
         let columns = ["subtask", "run", "fails", "ahead", "why"];
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -387,8 +387,8 @@
 }
 
 #[yare::parameterized(
-one_starts_at_once = { false, 2 },
-one_does_not_fit = { true, 0 },
+    one_starts_at_once = { false, 2 },
+    one_does_not_fit = { true, 0 },
 )]
 fn preempt_for_all_waiting_subtasks_of_step_or_none(one_is_held: bool, expected: usize) {
     let mut fleet = Fleet::new(3);
@@ -558,9 +558,9 @@
 }
 
 #[yare::parameterized(
-larger_than_any_worker = { step(1, 9) },
-gang_larger_than_fleet = { Step { gang: true, ..step(3, 8) } },
-label_of_no_worker = { Step { label: Some("b".to_owned()), ..step(1, 1) } },
+    larger_than_any_worker = { step(1, 9) },
+    gang_larger_than_fleet = { Step { gang: true, ..step(3, 8) } },
+    label_of_no_worker = { Step { label: Some("b".to_owned()), ..step(1, 1) } },
 )]
 fn submit_refuses_job_that_never_fits(step: Step) {
     let mut fleet = Fleet::new(2);
